--- a/store/backoff.h
+++ b/store/backoff.h
@@ -6,12 +6,12 @@
 namespace stackquay {
 
 struct BackoffSettings {
-    Duration m_first = Millis(50); ///< Longest wait after the first failure.
-    Duration m_most = Seconds(5); ///< Longest wait after any.
+    Duration m_initialBound = Millis(50); ///< Upper bound of the first delay.
+    Duration m_maxBound = Seconds(5); ///< Upper bound of any delay.
 };
 
-/// A wait, evenly distributed between zero and first * 2^failures, at most m_most. @p failures
-/// counts those before this one.
+/// Returns a random delay, uniform between zero and min(m_initialBound * 2^failures, m_maxBound).
+/// @p failures: failures in a row before the latest one, 0 after the first.
 Duration backoffDelay(const BackoffSettings &settings, unsigned failures, RandomEngine &random);
 
 } // namespace stackquay
--- a/store/call_budget.cpp
+++ b/store/call_budget.cpp
@@ -10,11 +10,11 @@
 
 void refill(CallBudget &budget, TimePoint now)
 {
-    if (now <= budget.m_updated)
+    if (now <= budget.m_refilledAt)
         return;
-    const double seconds = FloatSeconds(now - budget.m_updated).count();
+    const double seconds = FloatSeconds(now - budget.m_refilledAt).count();
     budget.m_tokens = std::min(budget.m_burst, budget.m_tokens + seconds * budget.m_perSecond);
-    budget.m_updated = now;
+    budget.m_refilledAt = now;
 }
 
 } // namespace
@@ -24,7 +24,7 @@
     return { perSecond, burst, burst, now };
 }
 
-std::optional<Duration> takeCall(CallBudget &budget, TimePoint now, Duration maxWait)
+std::optional<Duration> reserveCall(CallBudget &budget, TimePoint now, Duration maxWait)
 {
     refill(budget, now);
     const double debt = 1 - budget.m_tokens;
--- a/store/circuit.cpp
+++ b/store/circuit.cpp
@@ -2,7 +2,7 @@
 
 namespace stackquay {
 
-bool recordSuccess(Circuit &circuit)
+bool recordSuccess(CircuitBreaker &circuit)
 {
     circuit.m_failures = 0;
     const bool ended = circuit.m_open;
@@ -10,10 +10,10 @@
     return ended;
 }
 
-bool recordFailure(Circuit &circuit)
+bool recordFailure(CircuitBreaker &circuit)
 {
     ++circuit.m_failures;
-    if (circuit.m_open || circuit.m_failures < circuit.m_opensAfter)
+    if (circuit.m_open || circuit.m_failures < circuit.m_failureThreshold)
         return false;
     circuit.m_open = true;
     return true;
--- a/store/store_channel.cpp
+++ b/store/store_channel.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr size_t IdleConnections = 8;
-constexpr unsigned StatusRateUsedUp = 429;
+constexpr unsigned StatusTooManyRequests = 429;
 constexpr unsigned StatusServerError = 500;
-constexpr unsigned StatusDown = 503;
-/// An object that need not exist: any answer shows that the service is alive.
+constexpr unsigned StatusUnavailable = 503;
+/// Key of an object that need not exist: any response shows that the store is available.
 constexpr const char *ProbeTarget = "/objects/stackquay-probe";
 
 bool isWrite(StoreCount kind)
@@ -20,30 +20,30 @@
     return kind == StoreCount::Puts || kind == StoreCount::Removes;
 }
 
-/// Whether nothing was written and another try may help.
-bool mayRetry(const Error &error)
+/// Whether nothing was written and a retry may succeed.
+bool isRetryable(const Error &error)
 {
     return error.m_code == ErrorCode::Unavailable || error.m_code == ErrorCode::ResourceExhausted;
 }
 
-/// The error of an answer that is no answer to the call, if it is one.
-std::optional<Error> answerError(const HttpResponse &response, StoreCount kind)
+/// The error for a response with status 429 or 5xx; nullopt for any other response.
+std::optional<Error> responseError(const HttpResponse &response, StoreCount kind)
 {
-    if (response.m_status == StatusRateUsedUp)
-        return Error{ ErrorCode::ResourceExhausted, "the store's rate is used up" };
-    if (response.m_status == StatusDown)
-        return Error{ ErrorCode::Unavailable, "the store says that it is down" };
+    if (response.m_status == StatusTooManyRequests)
+        return Error{ ErrorCode::ResourceExhausted, "the rate limit of the store is exceeded" };
+    if (response.m_status == StatusUnavailable)
+        return Error{ ErrorCode::Unavailable, "the store reports that it is unavailable" };
     if (response.m_status < StatusServerError)
         return std::nullopt;
     const auto code = isWrite(kind) ? ErrorCode::OutcomeUnknown : ErrorCode::Unavailable;
-    return Error{ code, fmt::format("the store answered {}", response.m_status) };
+    return Error{ code, fmt::format("the store responded with status {}", response.m_status) };
 }
 
-/// An error after the first byte of a call went out.
-Error lostAnswer(const Error &error, StoreCount kind)
+/// Converts an error that occurred after a part of the call may have been sent.
+Error lostResponse(const Error &error, StoreCount kind)
 {
     if (isWrite(kind))
-        return { ErrorCode::OutcomeUnknown, "answer lost: " + error.m_message };
+        return { ErrorCode::OutcomeUnknown, "response lost: " + error.m_message };
     if (error.m_code == ErrorCode::Cancelled)
         return error;
     return { ErrorCode::Unavailable, error.m_message };
@@ -60,7 +60,7 @@
     , m_reads(makeCallBudget(m_settings.m_readsPerSecond, m_settings.m_burst, Clock::now()))
     , m_writes(makeCallBudget(m_settings.m_writesPerSecond, m_settings.m_burst, Clock::now()))
 {
-    m_circuit.m_opensAfter = m_settings.m_outageAfter;
+    m_circuitBreaker.m_failureThreshold = m_settings.m_outageAfter;
 }
 
 Result<HttpResponse> StoreChannel::call(const StoreCall &call)
@@ -72,31 +72,31 @@
             return tl::unexpected(budget.error());
         const Duration left = deadline - Clock::now();
         auto response = tryOnce(call, std::clamp<Duration>(left, Millis(1), call.m_tryTimeout));
-        if (response || !m_settings.m_retry || !mayRetry(response.error()))
+        if (response || !m_settings.m_retry || !isRetryable(response.error()))
             return response;
         const Duration delay = backoffDelay(m_settings.m_backoff, failures, m_random);
         if (Clock::now() + delay >= deadline)
             return response;
         if (!sleepFor(m_context, delay))
-            return makeError(ErrorCode::Cancelled, "the thread stops");
+            return makeError(ErrorCode::Cancelled, "the thread is stopping");
     }
 }
 
 Status StoreChannel::waitForBudget(const StoreCall &call, TimePoint deadline)
 {
-    if (m_circuit.m_open) {
+    if (m_circuitBreaker.m_open) {
         count(StoreCount::FailedFast);
-        return makeError(ErrorCode::Unavailable, "the store is in outage");
+        return makeError(ErrorCode::Unavailable, "the store is unavailable (outage mode)");
     }
     CallBudget &budget = isWrite(call.m_kind) ? m_writes : m_reads;
     const TimePoint now = Clock::now();
-    const auto wait = takeCall(budget, now, deadline - now);
+    const auto wait = reserveCall(budget, now, deadline - now);
     if (!wait) {
         count(StoreCount::OverBudget);
-        return makeError(ErrorCode::ResourceExhausted, "the own budget of calls is used up");
+        return makeError(ErrorCode::ResourceExhausted, "the call budget of this client is used up");
     }
     if (*wait > Duration::zero() && !sleepFor(m_context, *wait))
-        return makeError(ErrorCode::Cancelled, "the thread stops");
+        return makeError(ErrorCode::Cancelled, "the thread is stopping");
     return {};
 }
 
@@ -108,18 +108,18 @@
     if (!response)
         error = response.error();
     else
-        error = answerError(*response, call.m_kind);
+        error = responseError(*response, call.m_kind);
     if (!error) {
-        noteAlive();
+        handleSuccess();
         return response;
     }
     if (error->m_code == ErrorCode::OutcomeUnknown)
         count(StoreCount::UnknownWrites);
     if (error->m_code == ErrorCode::ResourceExhausted) {
         count(StoreCount::Throttled);
-        noteAlive();
+        handleSuccess();
     } else if (error->m_code != ErrorCode::Cancelled) {
-        noteFailure(*error);
+        handleFailure(*error);
     }
     return tl::unexpected(*error);
 }
@@ -127,29 +127,30 @@
 Result<HttpResponse> StoreChannel::exchange(const StoreCall &call, Duration timeout)
 {
     if (m_settings.m_addresses.empty())
-        return makeError(ErrorCode::Unavailable, "no address of the store is set");
+        return makeError(ErrorCode::Unavailable, "no address of the store is configured");
     HttpCallOptions options;
     options.m_timeout = timeout;
-    // A watch rightly brings nothing for long: its connection is probed. It goes on from the same
-    // revision, so that it loses nothing, and for its whole wait.
+    // A watch may receive nothing for a long time, so silence does not replace its connection; the
+    // connection is probed instead. On a new connection the watch resumes from the same revision,
+    // without loss, and with its full timeout.
     options.m_anew = call.m_kind == StoreCount::Watches;
     if (!options.m_anew)
         options.m_replaceAfter = m_settings.m_replaceAfter;
-    auto response = m_pool.call(m_settings.m_addresses[m_address], call.m_request, options);
+    auto response = m_pool.call(m_settings.m_addresses[m_addressIndex], call.m_request, options);
     if (!response)
-        return tl::unexpected(lostAnswer(response.error(), call.m_kind));
+        return tl::unexpected(lostResponse(response.error(), call.m_kind));
     return response;
 }
 
-// On a fresh connection, so that a connection which the service had closed while it was idle is
-// not taken for a lost answer.
+// Uses a new connection for each write. On a reused one, which the store may have closed while
+// idle, the failure would have to be treated as a write with unknown outcome.
 Result<HttpResponse> StoreChannel::exchangeWrite(const StoreCall &call, Duration timeout)
 {
     if (m_settings.m_addresses.empty())
-        return makeError(ErrorCode::Unavailable, "no address of the store is set");
+        return makeError(ErrorCode::Unavailable, "no address of the store is configured");
     const TimePoint deadline = Clock::now() + timeout;
     const auto left = [&] { return std::max<Duration>(deadline - Clock::now(), Millis(1)); };
-    const Address address = m_settings.m_addresses[m_address];
+    const Address address = m_settings.m_addresses[m_addressIndex];
     auto connection = m_pool.acquire(address, timeout, true);
     if (!connection) {
         const Error &error = connection.error();
@@ -158,31 +159,31 @@
     }
     const Status sent = (*connection)->send(call.m_request, left());
     if (!sent)
-        return tl::unexpected(lostAnswer(sent.error(), call.m_kind));
+        return tl::unexpected(lostResponse(sent.error(), call.m_kind));
     auto response = (*connection)->readHeader(left());
     if (!response)
-        return tl::unexpected(lostAnswer(response.error(), call.m_kind));
+        return tl::unexpected(lostResponse(response.error(), call.m_kind));
     auto body = (*connection)->readWhole(left());
     if (!body)
-        return tl::unexpected(lostAnswer(body.error(), call.m_kind));
+        return tl::unexpected(lostResponse(body.error(), call.m_kind));
     response->m_body = std::move(*body);
     m_pool.release(address, std::move(*connection));
     return response;
 }
 
-void StoreChannel::noteAlive()
+void StoreChannel::handleSuccess()
 {
-    if (recordSuccess(m_circuit))
+    if (recordSuccess(m_circuitBreaker))
         log(LogPart::Store).info("Outage ended.");
     m_outage.store(false, std::memory_order_relaxed);
 }
 
-void StoreChannel::noteFailure(const Error &error)
+void StoreChannel::handleFailure(const Error &error)
 {
     count(StoreCount::Failures);
     if (!m_settings.m_addresses.empty())
-        m_address = (m_address + 1) % m_settings.m_addresses.size();
-    if (!recordFailure(m_circuit))
+        m_addressIndex = (m_addressIndex + 1) % m_settings.m_addresses.size();
+    if (!recordFailure(m_circuitBreaker))
         return;
     count(StoreCount::Outages);
     m_outage.store(true, std::memory_order_relaxed);
@@ -191,14 +192,14 @@
         return;
     m_probing = true;
     spawnFiber([self = shared_from_this()] {
-        self->probeUntilAlive();
+        self->probeUntilAvailable();
         self->m_probing = false;
     });
 }
 
-void StoreChannel::probeUntilAlive()
+void StoreChannel::probeUntilAvailable()
 {
-    for (unsigned failures = 0; m_circuit.m_open; ++failures) {
+    for (unsigned failures = 0; m_circuitBreaker.m_open; ++failures) {
         if (!sleepFor(m_context, backoffDelay(m_settings.m_probe, failures, m_random)) || m_closed)
             return;
         if (probeOnce())
@@ -211,7 +212,7 @@
     StoreCall probe;
     probe.m_kind = StoreCount::Probes;
     probe.m_request.m_target = ProbeTarget;
-    return tryOnce(probe, m_settings.m_tryTimeout).has_value() || !m_circuit.m_open;
+    return tryOnce(probe, m_settings.m_tryTimeout).has_value() || !m_circuitBreaker.m_open;
 }
 
 void StoreChannel::count(StoreCount counter)
--- a/store/store_channel.h
+++ b/store/store_channel.h
@@ -1,4 +1,5 @@
-/// One client's way to the service: budget, retries, outage mode, counters. Internal.
+/// The HTTP calls of one client of the store: rate budget, retries, outage mode, counters.
+/// Internal.
 #pragma once
 
 #include <array>
@@ -12,6 +13,7 @@
 
 namespace stackquay {
 
+/// The counters of StoreCounters; the first seven are also the kinds of calls.
 enum class StoreCount {
     Gets,
     Puts,
@@ -30,12 +32,12 @@
     Last, ///< Number of counters; not a counter.
 };
 
-/// A call before its retries.
+/// A call with its time limits.
 struct StoreCall {
     StoreCount m_kind = StoreCount::Gets;
     HttpRequest m_request;
-    Duration m_tryTimeout{};
-    Duration m_callTimeout{};
+    Duration m_tryTimeout{}; ///< For one try.
+    Duration m_callTimeout{}; ///< For all tries and delays together.
 };
 
 class StoreChannel : public std::enable_shared_from_this<StoreChannel>
@@ -43,10 +45,10 @@
 public:
     StoreChannel(boost::asio::io_context &context, StoreSettings settings, RandomEngine random);
 
-    /// Sends the call, with retries of what was surely not written. An answer that says neither
-    /// "rate used up" nor "down" is returned whatever its status.
+    /// Sends the call; retries failures that are certain to have written nothing. Returns the
+    /// response whatever its status, except 429 and 5xx, which are errors.
     Result<HttpResponse> call(const StoreCall &call);
-    /// Ends the background probe.
+    /// Stops the background probe.
     void close() { m_closed = true; }
     void count(StoreCount counter);
     StoreCounters counters() const;
@@ -58,9 +60,9 @@
     Result<HttpResponse> tryOnce(const StoreCall &call, Duration timeout);
     Result<HttpResponse> exchange(const StoreCall &call, Duration timeout);
     Result<HttpResponse> exchangeWrite(const StoreCall &call, Duration timeout);
-    void noteAlive();
-    void noteFailure(const Error &error);
-    void probeUntilAlive();
+    void handleSuccess();
+    void handleFailure(const Error &error);
+    void probeUntilAvailable();
     bool probeOnce();
 
     boost::asio::io_context &m_context;
@@ -69,8 +71,8 @@
     HttpPool m_pool;
     CallBudget m_reads;
     CallBudget m_writes;
-    Circuit m_circuit;
-    size_t m_address = 0; ///< Index of the address in use.
+    CircuitBreaker m_circuitBreaker;
+    size_t m_addressIndex = 0; ///< Index of the address in use.
     bool m_closed = false;
     bool m_probing = false;
     std::atomic<bool> m_outage{ false };
--- a/tests/store/parts_test.cpp
+++ b/tests/store/parts_test.cpp
@@ -5,21 +5,21 @@
 namespace stackquay {
 namespace {
 
-TEST(CallBudgetTest, TakersQueueAndTheLimitRefuses)
+TEST(CallBudgetTest, CallersQueueUpToTheirMaxWait)
 {
     const TimePoint start{};
     CallBudget budget = makeCallBudget(10, 2, start);
-    EXPECT_EQ(takeCall(budget, start, Seconds(1)), Duration::zero());
-    EXPECT_EQ(takeCall(budget, start, Seconds(1)), Duration::zero());
-    EXPECT_EQ(takeCall(budget, start, Seconds(1)), Millis(100));
-    EXPECT_EQ(takeCall(budget, start, Seconds(1)), Millis(200));
-    EXPECT_FALSE(takeCall(budget, start, Millis(250)));
-    // The refused taker left no debt behind.
-    EXPECT_EQ(takeCall(budget, start, Millis(300)), Millis(300));
-    EXPECT_EQ(takeCall(budget, start + Seconds(60), Seconds(1)), Duration::zero());
+    EXPECT_EQ(reserveCall(budget, start, Seconds(1)), Duration::zero());
+    EXPECT_EQ(reserveCall(budget, start, Seconds(1)), Duration::zero());
+    EXPECT_EQ(reserveCall(budget, start, Seconds(1)), Millis(100));
+    EXPECT_EQ(reserveCall(budget, start, Seconds(1)), Millis(200));
+    EXPECT_FALSE(reserveCall(budget, start, Millis(250)));
+    // The refused call has taken no token.
+    EXPECT_EQ(reserveCall(budget, start, Millis(300)), Millis(300));
+    EXPECT_EQ(reserveCall(budget, start + Seconds(60), Seconds(1)), Duration::zero());
 }
 
-TEST(BackoffTest, GrowsToItsBoundWithFullJitter)
+TEST(BackoffTest, DoublesUpToItsMaximumWithFullJitter)
 {
     const BackoffSettings settings{ Millis(100), Millis(1000) };
     RandomEngine random(7);
@@ -36,10 +36,10 @@
     }
 }
 
-TEST(CircuitTest, OpensAfterFailuresInARowOnly)
+TEST(CircuitBreakerTest, OpensOnlyAfterFailuresInARow)
 {
-    Circuit circuit;
-    circuit.m_opensAfter = 2;
+    CircuitBreaker circuit;
+    circuit.m_failureThreshold = 2;
     EXPECT_FALSE(recordFailure(circuit));
     EXPECT_FALSE(recordSuccess(circuit));
     EXPECT_FALSE(recordFailure(circuit));
