--- a/store/objects.h
+++ b/store/objects.h
@@ -1,8 +1,8 @@
-/// Objects of the platform's service as values, and the calls on them.
+/// Interface of the platform's object store, and the types of its calls.
 ///
-/// Every call may also fail with ResourceExhausted (rate used up), Unavailable (the service cannot
-/// be reached, nothing was written) or Cancelled (the thread stops). A write whose answer was lost
-/// fails with OutcomeUnknown: it may have taken effect, or may still do so.
+/// Every call may also fail with ResourceExhausted (rate limit exceeded), Unavailable (the store
+/// cannot be reached, nothing was written) or Cancelled (the thread is stopping). A write whose
+/// response was lost fails with OutcomeUnknown: it may have been applied, or may still be.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,12 @@
 
 namespace stackquay {
 
-/// Counts the writes of one object, from 1. As a condition, NoObject means "create only".
+/// Number of writes of one object so far, starting at 1. As the condition of a write, NoObject
+/// means that the object must not exist yet.
 using ObjectVersion = uint64_t;
 constexpr ObjectVersion NoObject = 0;
 
-/// Longest value that the service takes, in bytes.
+/// Largest value that the store accepts, in bytes.
 constexpr size_t ObjectValueLimit = 1024 * 1024;
 
 struct VersionedObject {
@@ -34,7 +35,7 @@
 
 struct ObjectList {
     std::vector<ObjectEntry> m_objects;
-    uint64_t m_sequence = 0; ///< Where a watch has to start so as to miss nothing.
+    uint64_t m_sequence = 0; ///< A watch from here misses no change.
 };
 
 struct ObjectEvent {
@@ -45,10 +46,10 @@
 
 struct ObjectEvents {
     std::vector<ObjectEvent> m_events; ///< Empty when the watch timed out.
-    uint64_t m_sequence = 0; ///< Where the next watch has to start.
+    uint64_t m_sequence = 0; ///< Sequence from which to watch next.
 };
 
-/// The calls, so that what builds on them can be tested without a network.
+/// The calls of the object store; tests implement them without a network.
 class ObjectApi
 {
 public:
@@ -56,15 +57,18 @@
 
     /// NotFound if there is no such object.
     virtual Result<VersionedObject> get(const std::string &key) = 0;
-    /// Writes if the object's version is @p condition, or always without one. Returns the new
-    /// version, or Conflict.
+    /// Writes if the object's version is @p condition; without a condition, always. Returns the new
+    /// version. Conflict if the object has another version, InvalidArgument if @p value is too
+    /// large.
     virtual Result<ObjectVersion> put(const std::string &key, const std::string &value,
                                       std::optional<ObjectVersion> condition) = 0;
-    /// Removes if the object's version is @p condition. Conflict or NotFound otherwise.
+    /// Removes the object if its version is @p condition; without a condition, always. Conflict if
+    /// it has another version, NotFound if there is no such object.
     virtual Status remove(const std::string &key, std::optional<ObjectVersion> condition) = 0;
+    /// Lists the objects whose keys start with @p prefix.
     virtual Result<ObjectList> list(const std::string &prefix) = 0;
-    /// Waits up to @p timeout for changes after sequence @p from. NotFound if @p from is too old:
-    /// list again.
+    /// Waits up to @p timeout for changes after sequence @p from of objects whose keys start with
+    /// @p prefix. NotFound if the store no longer keeps all changes after @p from: list again.
     virtual Result<ObjectEvents> watch(const std::string &prefix, uint64_t from,
                                        Duration timeout) = 0;
 };
--- a/store/store.h
+++ b/store/store.h
@@ -1,4 +1,5 @@
-/// Public header of the store library: the platform's object service and what builds on it.
+/// Public header of the store library: clients of the platform's object store, and the leases,
+/// claims and declared intent that are kept there.
 #pragma once
 
 #include "store/backoff.h"
--- a/store/store_client.cpp
+++ b/store/store_client.cpp
@@ -38,24 +38,24 @@
     return { { "If-Version", std::to_string(*condition) } };
 }
 
-/// The error of an answer whose status is not 200.
+/// The error for a response whose status is not 200.
 Error statusError(const HttpResponse &response, std::string_view what)
 {
     switch (response.m_status) {
     case StatusNotFound:
         return { ErrorCode::NotFound, fmt::format("{}: no such object", what) };
     case StatusConflict:
-        return { ErrorCode::Conflict, fmt::format("{}: another version", what) };
+        return { ErrorCode::Conflict, fmt::format("{}: the object has another version", what) };
     case StatusGone:
-        return { ErrorCode::NotFound, fmt::format("{}: sequence too old", what) };
+        return { ErrorCode::NotFound, fmt::format("{}: the sequence is too old", what) };
     case StatusTooLarge:
-        return { ErrorCode::InvalidArgument, fmt::format("{}: value too large", what) };
+        return { ErrorCode::InvalidArgument, fmt::format("{}: the value is too large", what) };
     default:
         return { ErrorCode::ProtocolError, fmt::format("{}: status {}", what, response.m_status) };
     }
 }
 
-Result<Json> parseAnswer(const Result<HttpResponse> &response, std::string_view what)
+Result<Json> parseResponse(const Result<HttpResponse> &response, std::string_view what)
 {
     if (!response)
         return tl::unexpected(response.error());
@@ -64,32 +64,32 @@
     return parseJsonObject(response->m_body);
 }
 
-ObjectList toList(const Json &answer)
+ObjectList toList(const Json &json)
 {
     ObjectList list;
-    list.m_sequence = uintField(answer, "sequence").value_or(0);
-    for (const Json &object : arrayField(answer, "objects"))
+    list.m_sequence = uintField(json, "sequence").value_or(0);
+    for (const Json &object : arrayField(json, "objects"))
         list.m_objects.push_back(
             { stringField(object, "key").value_or(""), uintField(object, "version").value_or(0) });
     return list;
 }
 
-ObjectEvents toEvents(const Json &answer, uint64_t from)
+ObjectEvents toEvents(const Json &json, uint64_t from)
 {
     ObjectEvents events;
-    events.m_sequence = uintField(answer, "sequence").value_or(from);
-    for (const Json &event : arrayField(answer, "events"))
+    events.m_sequence = uintField(json, "sequence").value_or(from);
+    for (const Json &event : arrayField(json, "events"))
         events.m_events.push_back({ stringField(event, "key").value_or(""),
                                     uintField(event, "version").value_or(0),
                                     boolField(event, "deleted") });
     return events;
 }
 
-VmList toVms(const Json &answer)
+VmList toVms(const Json &json)
 {
     VmList list;
-    list.m_age = Millis(uintField(answer, "age_ms").value_or(0));
-    for (const Json &item : arrayField(answer, "vms")) {
+    list.m_age = Millis(uintField(json, "age_ms").value_or(0));
+    for (const Json &item : arrayField(json, "vms")) {
         ListedVm vm;
         vm.m_id = VmId(stringField(item, "id").value_or(""));
         vm.m_dataCentre = DataCentreId(stringField(item, "data_centre").value_or(""));
@@ -133,7 +133,8 @@
         return tl::unexpected(statusError(*response, "get " + key));
     const auto version = parseNumber(findHeader(response->m_headers, "Object-Version"));
     if (!version || *version == NoObject)
-        return makeError(ErrorCode::ProtocolError, "get " + key + ": no version");
+        return makeError(ErrorCode::ProtocolError,
+                         "get " + key + ": the response contains no version");
     return VersionedObject{ key, std::move(response->m_body), *version };
 }
 
@@ -141,18 +142,18 @@
                                        std::optional<ObjectVersion> condition)
 {
     if (value.size() > ObjectValueLimit)
-        return makeError(ErrorCode::InvalidArgument, "put " + key + ": value too large");
+        return makeError(ErrorCode::InvalidArgument, "put " + key + ": the value is too large");
     const auto response = sendCall(*m_channel, StoreCount::Puts,
                                    { "PUT", objectTarget(key), conditionHeader(condition), value });
-    const auto answer = parseAnswer(response, "put " + key);
-    if (answer) {
-        const auto version = uintField(*answer, "version");
+    const auto json = parseResponse(response, "put " + key);
+    if (json) {
+        const auto version = uintField(*json, "version");
         if (version && *version != NoObject)
             return *version;
     } else if (!response || response->m_status != StatusOk) {
-        return tl::unexpected(answer.error());
+        return tl::unexpected(json.error());
     }
-    return makeError(ErrorCode::OutcomeUnknown, "put " + key + ": malformed answer");
+    return makeError(ErrorCode::OutcomeUnknown, "put " + key + ": malformed response");
 }
 
 Status StoreClient::remove(const std::string &key, std::optional<ObjectVersion> condition)
@@ -170,7 +171,7 @@
 {
     const auto response =
         sendCall(*m_channel, StoreCount::Lists, { "GET", "/list?prefix=" + prefix, {}, "" });
-    return parseAnswer(response, "list " + prefix).map(toList);
+    return parseResponse(response, "list " + prefix).map(toList);
 }
 
 Result<ObjectEvents> StoreClient::watch(const std::string &prefix, uint64_t from, Duration timeout)
@@ -182,15 +183,15 @@
     const auto response =
         m_channel->call({ StoreCount::Watches, std::move(request), settings.m_tryTimeout + timeout,
                           settings.m_callTimeout + timeout });
-    return parseAnswer(response, "watch " + prefix).map([from](const Json &answer) {
-        return toEvents(answer, from);
+    return parseResponse(response, "watch " + prefix).map([from](const Json &json) {
+        return toEvents(json, from);
     });
 }
 
 Result<VmList> StoreClient::vms()
 {
     const auto response = sendCall(*m_channel, StoreCount::VmLists, { "GET", "/vms", {}, "" });
-    return parseAnswer(response, "vms").map(toVms);
+    return parseResponse(response, "vms").map(toVms);
 }
 
 bool StoreClient::outage() const
--- a/tests/store/fake_objects.h
+++ b/tests/store/fake_objects.h
@@ -1,4 +1,4 @@
-/// The object service in memory, with faults chosen call by call.
+/// An object store in memory, with a fault chosen for each call.
 #pragma once
 
 #include <deque>
@@ -15,21 +15,21 @@
 
 enum class FakeFault {
     None,
-    Refused, ///< Not applied, and says so.
-    LostBefore, ///< Not applied; the answer is lost.
-    LostAfter, ///< Applied; the answer is lost.
-    Delayed, ///< The answer is lost; applied when released.
+    Refused, ///< Not applied; fails with Unavailable.
+    LostBefore, ///< Not applied; the response is lost.
+    LostAfter, ///< Applied; the response is lost.
+    Delayed, ///< The response is lost; applied by releaseDelayed().
 };
 
 class FakeObjects : public ObjectApi
 {
 public:
-    using FaultChoice = std::function<FakeFault(bool write, const std::string &key)>;
+    using FaultFunction = std::function<FakeFault(bool write, const std::string &key)>;
 
-    FaultChoice m_faults;
-    /// Runs before each call, so that a test can let others go first.
+    FaultFunction m_faults;
+    /// Runs before each call and after each write, so that a test can let other fibers run.
     std::function<void()> m_pause;
-    uint64_t m_writes = 0; ///< Writes applied or refused for their version.
+    uint64_t m_writes = 0; ///< Calls of put() and remove(), including failed ones.
     uint64_t m_reads = 0;
 
     Result<VersionedObject> get(const std::string &key) override
@@ -52,14 +52,14 @@
     Status remove(const std::string &key, std::optional<ObjectVersion> condition) override
     {
         const auto removed = write(key, [=, this]() -> Result<ObjectVersion> {
-            const ObjectVersion present = versionOf(key);
-            if (present == NoObject)
+            const ObjectVersion current = versionOf(key);
+            if (current == NoObject)
                 return makeError(ErrorCode::NotFound, key);
-            if (condition && *condition != present)
+            if (condition && *condition != current)
                 return makeError(ErrorCode::Conflict, key);
             m_objects.erase(key);
-            note(key, present, true);
-            return present;
+            addEvent(key, current, true);
+            return current;
         });
         if (!removed)
             return tl::unexpected(removed.error());
@@ -78,7 +78,7 @@
         return list;
     }
 
-    /// Returns at once, also without events.
+    /// Returns at once, even without events.
     Result<ObjectEvents> watch(const std::string &prefix, uint64_t from, Duration) override
     {
         if (begin(false, prefix) != FakeFault::None)
@@ -91,7 +91,7 @@
         return events;
     }
 
-    /// Lets the oldest delayed write take effect, if its condition still holds.
+    /// Applies the oldest delayed write, if its condition still holds.
     void releaseDelayed()
     {
         if (m_delayed.empty())
@@ -101,6 +101,7 @@
         (void)apply();
     }
 
+    /// The number of objects whose keys start with @p prefix.
     size_t count(const std::string &prefix) const
     {
         size_t found = 0;
@@ -122,7 +123,7 @@
 
     Result<ObjectVersion> write(const std::string &key, const Apply &apply)
     {
-        const auto lost = makeError(ErrorCode::OutcomeUnknown, "fake: answer lost");
+        const auto lost = makeError(ErrorCode::OutcomeUnknown, "fake: response lost");
         switch (begin(true, key)) {
         case FakeFault::None:
             break;
@@ -146,12 +147,12 @@
     Result<ObjectVersion> apply(const std::string &key, const std::string &value,
                                 std::optional<ObjectVersion> condition)
     {
-        const ObjectVersion present = versionOf(key);
-        if (condition && *condition != present)
+        const ObjectVersion current = versionOf(key);
+        if (condition && *condition != current)
             return makeError(ErrorCode::Conflict, key);
-        m_objects[key] = { key, value, present + 1 };
-        note(key, present + 1, false);
-        return present + 1;
+        m_objects[key] = { key, value, current + 1 };
+        addEvent(key, current + 1, false);
+        return current + 1;
     }
 
     ObjectVersion versionOf(const std::string &key) const
@@ -160,7 +161,7 @@
         return found == m_objects.end() ? NoObject : found->second.m_version;
     }
 
-    void note(const std::string &key, ObjectVersion version, bool deleted)
+    void addEvent(const std::string &key, ObjectVersion version, bool deleted)
     {
         m_events.push_back({ key, version, deleted });
     }
@@ -170,7 +171,7 @@
     std::deque<Apply> m_delayed;
 };
 
-/// Runs @p function in a fiber of @p thread and waits for its end.
+/// Runs @p function in a fiber of @p thread and waits until it returns.
 inline void runOn(FiberThread &thread, const std::function<void()> &function)
 {
     std::promise<void> done;
--- a/tests/store/platform_test.cpp
+++ b/tests/store/platform_test.cpp
@@ -1,4 +1,4 @@
-/// The client and the intent store over the platform's stand-in.
+/// Tests of the client and the intent store against the simulated platform.
 #include <boost/fiber/future.hpp>
 #include <gtest/gtest.h>
 
@@ -63,7 +63,7 @@
     });
 }
 
-TEST_F(PlatformTest, VmsAreTyped)
+TEST_F(PlatformTest, VmListIsParsed)
 {
     m_platform->setVms(standin::Json::array({ { { "id", "vm1" },
                                                 { "data_centre", "dc1" },
@@ -79,7 +79,7 @@
     });
 }
 
-TEST_F(PlatformTest, CommitsSurviveLostRequestsAndAnswers)
+TEST_F(PlatformTest, CommitsSucceedDespiteLostRequestsAndResponses)
 {
     withClient([&](StoreClient &client) {
         IntentSettings quick;
@@ -88,7 +88,7 @@
         uint64_t revision = 0;
         for (const auto mode : { PlatformFaultMode::Ok, PlatformFaultMode::LoseAnswer,
                                  PlatformFaultMode::LoseRequest }) {
-            // Two: the snapshot's write and the head's.
+            // The fault applies to two calls: the writes of the snapshot and of the head.
             m_platform->setFault({ mode, Millis(0), 2 });
             const std::string id = "c" + std::to_string(revision);
             const auto result =
--- a/tests/store/store_client_test.cpp
+++ b/tests/store/store_client_test.cpp
@@ -8,11 +8,11 @@
 namespace stackquay {
 namespace {
 
-/// Answers each request with the next scripted step, and the last step for ever.
+/// Answers each request by the next scripted step, and repeats the last step.
 class ScriptedService
 {
 public:
-    enum class Step { Answer, RateUsedUp, Down, Cut };
+    enum class Step { Answer, TooManyRequests, Unavailable, AbortConnection };
 
     explicit ScriptedService(std::deque<Step> steps)
         : m_thread("service")
@@ -60,13 +60,13 @@
         case Step::Answer:
             exchange.respond({ 200, { { "Object-Version", "7" } }, R"({"version":8})" });
             return;
-        case Step::RateUsedUp:
+        case Step::TooManyRequests:
             exchange.respond({ 429, {}, "" });
             return;
-        case Step::Down:
+        case Step::Unavailable:
             exchange.respond({ 503, {}, "" });
             return;
-        case Step::Cut:
+        case Step::AbortConnection:
             exchange.abort();
             return;
         }
@@ -134,9 +134,9 @@
     });
 }
 
-TEST_F(StoreClientTest, RetriesWhatWasNotWritten)
+TEST_F(StoreClientTest, RetriesCallsThatWroteNothing)
 {
-    ScriptedService service({ Step::RateUsedUp, Step::Down, Step::Answer });
+    ScriptedService service({ Step::TooManyRequests, Step::Unavailable, Step::Answer });
     withClient(settings({ service.address() }), [](StoreClient &client) {
         EXPECT_TRUE(client.put("a", "v", 7));
         const StoreCounters counters = client.counters();
@@ -146,9 +146,9 @@
     });
 }
 
-TEST_F(StoreClientTest, ALostAnswerIsUnknownForAWriteAndRetriedForARead)
+TEST_F(StoreClientTest, ALostResponseIsUnknownForAWriteAndRetriedForARead)
 {
-    ScriptedService service({ Step::Cut, Step::Cut, Step::Answer });
+    ScriptedService service({ Step::AbortConnection, Step::AbortConnection, Step::Answer });
     withClient(settings({ service.address() }), [&](StoreClient &client) {
         EXPECT_EQ(client.put("a", "v", 7).error().m_code, ErrorCode::OutcomeUnknown);
         EXPECT_EQ(service.requests(), 1u);
@@ -157,7 +157,7 @@
     });
 }
 
-TEST_F(StoreClientTest, GoesOnToTheNextAddress)
+TEST_F(StoreClientTest, SwitchesToTheNextAddressAfterAFailure)
 {
     ScriptedService service({ Step::Answer });
     withClient(settings({ Address{ "127.0.0.1", 1 }, service.address() }), [](StoreClient &client) {
@@ -169,7 +169,7 @@
 
 TEST_F(StoreClientTest, OutageFailsFastUntilAProbeSucceeds)
 {
-    ScriptedService service({ Step::Down });
+    ScriptedService service({ Step::Unavailable });
     StoreSettings quick = settings({ service.address() });
     withClient(quick, [&](StoreClient &client) {
         EXPECT_EQ(client.get("a").error().m_code, ErrorCode::Unavailable);
@@ -188,7 +188,7 @@
     });
 }
 
-TEST_F(StoreClientTest, TheOwnBudgetRefusesWhatItCannotSendInTime)
+TEST_F(StoreClientTest, TheCallBudgetRefusesCallsItCannotSendInTime)
 {
     ScriptedService service({ Step::Answer });
     StoreSettings tight = settings({ service.address() });
@@ -199,7 +199,7 @@
         EXPECT_TRUE(client.put("a", "v", 7));
         EXPECT_EQ(client.put("a", "v", 7).error().m_code, ErrorCode::ResourceExhausted);
         EXPECT_EQ(service.requests(), 2u);
-        EXPECT_TRUE(client.get("a")) << "reads have a budget of their own";
+        EXPECT_TRUE(client.get("a")) << "reads have a separate budget";
     });
 }
 
