--- a/store/kind_store.cpp
+++ b/store/kind_store.cpp
@@ -14,8 +14,8 @@
 constexpr unsigned StatusConflict = 409;
 constexpr unsigned StatusGone = 410;
 
-/// The answer if its status is one of success.
-Result<HttpResponse> successOf(Result<HttpResponse> response, std::string_view what)
+/// Returns the response if its status is 2xx, otherwise the corresponding error.
+Result<HttpResponse> requireSuccess(Result<HttpResponse> response, std::string_view what)
 {
     if (!response)
         return response;
@@ -25,7 +25,8 @@
     if (status == StatusNotFound || status == StatusGone)
         return makeError(ErrorCode::NotFound, fmt::format("{}: status {}", what, status));
     if (status == StatusConflict)
-        return makeError(ErrorCode::Conflict, fmt::format("{}: another revision", what));
+        return makeError(ErrorCode::Conflict,
+                         fmt::format("{}: the object has another revision", what));
     return makeError(ErrorCode::ProtocolError, fmt::format("{}: status {}", what, status));
 }
 
@@ -39,9 +40,9 @@
 } // namespace
 
 KindStore::KindStore(boost::asio::io_context &context, StoreSettings settings, RandomEngine random,
-                     const KindDialect &dialect)
+                     const KindDialect &codec)
     : m_channel(std::make_shared<StoreChannel>(context, std::move(settings), random))
-    , m_dialect(dialect)
+    , m_codec(codec)
 { }
 
 KindStore::~KindStore()
@@ -58,16 +59,17 @@
         m_channel->count(StoreCount::Conflicts);
     if (!response)
         return response;
-    const Status inTime = noteEra(*response);
-    if (!inTime)
-        return tl::unexpected(inTime.error());
+    const Status accepted = checkEra(*response);
+    if (!accepted)
+        return tl::unexpected(accepted.error());
     return response;
 }
 
-/// An answer of an earlier era was on its way while the store came back: what it says is lost.
-Status KindStore::noteEra(const HttpResponse &response)
+/// Rejects a response of an earlier era: it was sent before the store was restored from a backup,
+/// so the state that it reports may no longer exist.
+Status KindStore::checkEra(const HttpResponse &response)
 {
-    const uint64_t era = m_dialect.m_readEra(response);
+    const uint64_t era = m_codec.m_readEra(response);
     if (era == m_era || era == 0)
         return {};
     if (era < m_era) {
@@ -75,7 +77,7 @@
             .number("era", static_cast<int64_t>(era))
             .number("known", static_cast<int64_t>(m_era))
             .write();
-        return makeError(ErrorCode::Unavailable, "the answer is of an earlier era of the store");
+        return makeError(ErrorCode::Unavailable, "the response is of an earlier era of the store");
     }
     const uint64_t before = std::exchange(m_era, era);
     if (before != 0)
@@ -83,45 +85,47 @@
             .number("era", static_cast<int64_t>(era))
             .number("before", static_cast<int64_t>(before))
             .write();
-    if (m_onRise)
-        m_onRise();
+    if (m_onEraIncrease)
+        m_onEraIncrease();
     return {};
 }
 
 Result<KindPage> KindStore::list(const std::string &kind, bool stale)
 {
-    KindPage whole;
+    KindPage result;
     std::string after;
     for (;;) {
-        const auto response = successOf(
-            send(StoreCount::Lists, m_dialect.m_list(kind, after, stale), {}), "list " + kind);
+        const auto response = requireSuccess(
+            send(StoreCount::Lists, m_codec.m_list(kind, after, stale), {}), "list " + kind);
         if (!response)
             return tl::unexpected(response.error());
-        auto page = m_dialect.m_readPage(response->m_body);
+        auto page = m_codec.m_readPage(response->m_body);
         if (!page)
             return page;
-        // The first page's revision: what changes while later pages are read is watched for.
+        // The revision of the first page, so that a watch from there reports what changes while
+        // later pages are read.
         if (after.empty())
-            whole.m_position = at(page->m_position.m_revision);
-        else if (whole.m_position.m_era != m_era)
-            return makeError(ErrorCode::Unavailable, "the store came back while it was listed");
+            result.m_position = positionAt(page->m_position.m_revision);
+        else if (result.m_position.m_era != m_era)
+            return makeError(ErrorCode::Unavailable,
+                             "the store was restored from a backup during the list");
         for (KindObject &object : page->m_objects) {
             object.m_position.m_era = m_era;
-            whole.m_objects.push_back(std::move(object));
+            result.m_objects.push_back(std::move(object));
         }
         if (!page->m_more || page->m_objects.empty())
-            return whole;
-        after = whole.m_objects.back().m_name;
+            return result;
+        after = result.m_objects.back().m_name;
     }
 }
 
 Result<KindObject> KindStore::get(const std::string &kind, const std::string &name)
 {
-    const auto response = successOf(send(StoreCount::Gets, m_dialect.m_get(kind, name), {}),
-                                    "get " + kind + "/" + name);
+    const auto response = requireSuccess(send(StoreCount::Gets, m_codec.m_get(kind, name), {}),
+                                         "get " + kind + "/" + name);
     if (!response)
         return tl::unexpected(response.error());
-    auto object = m_dialect.m_readObject(response->m_body);
+    auto object = m_codec.m_readObject(response->m_body);
     if (object)
         object->m_position.m_era = m_era;
     return object;
@@ -130,38 +134,39 @@
 Result<KindEvents> KindStore::watch(const std::string &kind, const StorePosition &from, Millis wait)
 {
     if (from.m_era != m_era)
-        return makeError(ErrorCode::NotFound, "the store came back from a copy");
-    const auto response =
-        successOf(send(StoreCount::Watches, m_dialect.m_watch(kind, from.m_revision, wait), wait),
-                  "watch " + kind);
-    // In another era its revision names another place: all between would be missed.
+        return makeError(ErrorCode::NotFound, "the store was restored from a backup");
+    const auto response = requireSuccess(
+        send(StoreCount::Watches, m_codec.m_watch(kind, from.m_revision, wait), wait),
+        "watch " + kind);
+    // In a new era the revision denotes a different change, so the watch may have missed some.
     if (from.m_era != m_era)
-        return makeError(ErrorCode::NotFound, "the store came back from a copy");
+        return makeError(ErrorCode::NotFound, "the store was restored from a backup");
     if (!response)
         return tl::unexpected(response.error());
-    auto events = m_dialect.m_readEvents(response->m_body);
+    auto events = m_codec.m_readEvents(response->m_body);
     if (events)
         events->m_position.m_era = m_era;
     return events;
 }
 
-/// A change on the condition that the object stands at its position.
+/// Sends a replace or remove, which is conditional if the position of @p object is known.
 Status KindStore::change(StoreCount counter, HttpRequest request, const KindObject &object,
                          const std::string &what)
 {
     const bool conditional = object.m_position.known();
     if (conditional && object.m_position.m_era != m_era)
-        return makeError(ErrorCode::Conflict, what + ": the store came back from a copy");
-    const Status changed = discard(successOf(send(counter, std::move(request), {}), what));
+        return makeError(ErrorCode::Conflict, what + ": the store was restored from a backup");
+    const Status changed = discard(requireSuccess(send(counter, std::move(request), {}), what));
     if (conditional && object.m_position.m_era != m_era)
-        return makeError(ErrorCode::OutcomeUnknown, what + ": the store came back from a copy");
+        return makeError(ErrorCode::OutcomeUnknown,
+                         what + ": the store was restored from a backup");
     return changed;
 }
 
 Status KindStore::create(const std::string &kind, const KindObject &object)
 {
-    auto response = successOf(send(StoreCount::Puts, m_dialect.m_create(kind, object), {}),
-                              "create " + kind + "/" + object.m_name);
+    auto response = requireSuccess(send(StoreCount::Puts, m_codec.m_create(kind, object), {}),
+                                   "create " + kind + "/" + object.m_name);
     if (!response && response.error().m_code == ErrorCode::Conflict)
         return makeError(ErrorCode::AlreadyExists, response.error().m_message);
     return discard(response);
@@ -169,13 +174,13 @@
 
 Status KindStore::replace(const std::string &kind, const KindObject &object)
 {
-    return change(StoreCount::Puts, m_dialect.m_replace(kind, object), object,
+    return change(StoreCount::Puts, m_codec.m_replace(kind, object), object,
                   "replace " + kind + "/" + object.m_name);
 }
 
 Status KindStore::remove(const std::string &kind, const KindObject &object)
 {
-    return change(StoreCount::Removes, m_dialect.m_remove(kind, object), object,
+    return change(StoreCount::Removes, m_codec.m_remove(kind, object), object,
                   "remove " + kind + "/" + object.m_name);
 }
 
--- a/store/kind_store.h
+++ b/store/kind_store.h
@@ -1,6 +1,9 @@
-/// Objects by kind and name, with their whole content in lists and watches, over the same channel
-/// as StoreClient. How a call is written and an answer read is a table of functions, which the
-/// adapter of a platform fills.
+/// Client of a store of typed objects, each identified by a kind (its type) and a name. Lists and
+/// watches return the complete objects. It sends over a StoreChannel, like StoreClient. A platform
+/// adapter supplies the codec: the functions that write a call and parse its response.
+///
+/// The store numbers its changes by revisions. Its era rises each time it is restored from a
+/// backup; revisions of different eras are not comparable.
 #pragma once
 
 #include <functional>
@@ -15,15 +18,15 @@
 
 struct KindObject {
     std::string m_name;
-    StorePosition m_position; ///< Of its last change.
-    std::string m_spec; ///< JSON.
+    StorePosition m_position; ///< Era and revision of its last change.
+    std::string m_spec; ///< The content as JSON text.
 };
 
 /// One page of a list.
 struct KindPage {
     std::vector<KindObject> m_objects;
-    bool m_more = false; ///< Ask again with the name of the last object.
-    StorePosition m_position; ///< Of the store, where a watch has to start.
+    bool m_more = false; ///< There is another page, after the name of the last object.
+    StorePosition m_position; ///< Of the store; a watch from here misses no change.
 };
 
 struct KindEvent {
@@ -33,64 +36,75 @@
 
 struct KindEvents {
     std::vector<KindEvent> m_events; ///< Empty when the watch timed out.
-    StorePosition m_position; ///< Where the next watch has to start.
+    StorePosition m_position; ///< Position from which to watch next.
 };
 
+/// The functions that write the calls of a platform's store and parse its responses.
 struct KindDialect {
+    /// @p after: name of the last object of the previous page, or empty. @p stale: the store may
+    /// return an outdated list.
     HttpRequest (*m_list)(const std::string &kind, const std::string &after, bool stale) = nullptr;
     HttpRequest (*m_get)(const std::string &kind, const std::string &name) = nullptr;
+    /// Waits up to @p wait for changes after revision @p from.
     HttpRequest (*m_watch)(const std::string &kind, uint64_t from, Millis wait) = nullptr;
     HttpRequest (*m_create)(const std::string &kind, const KindObject &object) = nullptr;
-    /// Unconditional if the object's position is not known.
+    /// Conditional on the object's position; unconditional if the position is not known.
     HttpRequest (*m_replace)(const std::string &kind, const KindObject &object) = nullptr;
+    /// Conditional like m_replace.
     HttpRequest (*m_remove)(const std::string &kind, const KindObject &object) = nullptr;
     Result<KindPage> (*m_readPage)(const std::string &body) = nullptr;
     Result<KindEvents> (*m_readEvents)(const std::string &body) = nullptr;
     Result<KindObject> (*m_readObject)(const std::string &body) = nullptr;
-    /// Of the store that answered; zero: it tells none.
+    /// The era in the response; zero if it contains none.
     uint64_t (*m_readEra)(const HttpResponse &response) = nullptr;
 };
 
 enum class StoreCount;
 
-/// For the fibers of one thread. Errors as in ObjectApi.
+/// To be used by the fibers of one thread. Calls may also fail with the errors that are common to
+/// all calls of ObjectApi, see store/objects.h.
 class KindStore
 {
 public:
+    /// @p codec must outlive the store.
     KindStore(boost::asio::io_context &context, StoreSettings settings, RandomEngine random,
-              const KindDialect &dialect);
+              const KindDialect &codec);
     ~KindStore();
     KindStore(const KindStore &) = delete;
     KindStore &operator=(const KindStore &) = delete;
 
-    /// All pages.
+    /// Reads all pages. @p stale: the store may return an outdated list.
     Result<KindPage> list(const std::string &kind, bool stale = false);
+    /// NotFound if there is no such object.
     Result<KindObject> get(const std::string &kind, const std::string &name);
-    /// NotFound if the history after @p from is gone: list again.
+    /// Waits up to @p wait for changes after @p from. NotFound if the store no longer keeps the
+    /// changes after @p from, or was restored from a backup since: list again.
     Result<KindEvents> watch(const std::string &kind, const StorePosition &from, Millis wait);
-    /// AlreadyExists if there is an object of that name.
+    /// AlreadyExists if there is an object of that kind and name.
     Status create(const std::string &kind, const KindObject &object);
-    /// Conflict if the position of @p object is not the present one, if it is known. OutcomeUnknown
-    /// if the store came back from a copy meanwhile: the condition may have met another object.
+    /// Conditional if the position of @p object is known: Conflict if the object has changed since.
+    /// OutcomeUnknown if the store was restored from a backup during the call: the condition may
+    /// have been checked against a different object with the same revision.
     Status replace(const std::string &kind, const KindObject &object);
+    /// Conditional like replace(), with the same errors.
     Status remove(const std::string &kind, const KindObject &object);
     StoreCounters counters() const;
-    /// The highest that the store has told; zero: none.
+    /// The highest era in any response of the store; zero if none contained one.
     uint64_t era() const { return m_era; }
-    /// Hears when the store tells its era for the first time, or a higher one than before.
-    void onRise(std::function<void()> callback) { m_onRise = std::move(callback); }
+    /// Sets the function to call when a response contains the first era, or one higher than era().
+    void onRise(std::function<void()> callback) { m_onEraIncrease = std::move(callback); }
 
 private:
     Result<HttpResponse> send(StoreCount counter, HttpRequest request, Duration wait);
-    Status noteEra(const HttpResponse &response);
+    Status checkEra(const HttpResponse &response);
     Status change(StoreCount counter, HttpRequest request, const KindObject &object,
                   const std::string &what);
-    StorePosition at(uint64_t revision) const { return { m_era, revision }; }
+    StorePosition positionAt(uint64_t revision) const { return { m_era, revision }; }
 
     std::shared_ptr<StoreChannel> m_channel;
-    const KindDialect &m_dialect;
+    const KindDialect &m_codec;
     uint64_t m_era = 0;
-    std::function<void()> m_onRise;
+    std::function<void()> m_onEraIncrease;
 };
 
 } // namespace stackquay
