--- a/store/intent_head.cpp
+++ b/store/intent_head.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Twice the retention, as clocks of nodes differ.
-constexpr auto KeptFor = 2 * IntentChangeRetention;
-// Kept whatever their age, so that one clock far ahead does not empty the list.
-constexpr ptrdiff_t LeastKept = 32;
+// Twice the retention, to allow for clock skew between nodes.
+constexpr auto RetentionWithMargin = 2 * IntentChangeRetention;
+// Kept regardless of age, so that one clock far in the future does not empty the list.
+constexpr ptrdiff_t MinKeptChanges = 32;
 
 int64_t toMillis(WallTime time)
 {
@@ -82,7 +82,7 @@
     return found == head.m_changes.end() ? nullptr : &*found;
 }
 
-bool namesChangesAfter(const IntentHead &head, uint64_t revision)
+bool listsChangesAfter(const IntentHead &head, uint64_t revision)
 {
     if (revision >= head.m_revision)
         return true;
@@ -96,10 +96,10 @@
     change.m_revision = head.m_revision + 1;
     head.m_revision = change.m_revision;
     head.m_snapshot = change.m_snapshot;
-    const WallTime oldest = change.m_at - KeptFor;
+    const WallTime oldest = change.m_at - RetentionWithMargin;
     head.m_changes.push_back(std::move(change));
     auto firstKept = head.m_changes.begin();
-    while (head.m_changes.end() - firstKept > LeastKept && firstKept->m_at < oldest)
+    while (head.m_changes.end() - firstKept > MinKeptChanges && firstKept->m_at < oldest)
         ++firstKept;
     std::vector<IntentChange> dropped(std::make_move_iterator(head.m_changes.begin()),
                                       std::make_move_iterator(firstKept));
--- a/store/intent_store.cpp
+++ b/store/intent_store.cpp
@@ -8,30 +8,30 @@
 
 namespace {
 
-constexpr unsigned LoadTries = 3;
+constexpr unsigned MaxLoadAttempts = 3;
 
-/// Unique, and in the order of revisions when listed.
+/// A unique key. Keys sort by revision when listed.
 std::string snapshotKey(uint64_t revision)
 {
     return fmt::format("{}{:020}-{}", IntentSnapshotPrefix, revision, randomToken());
 }
 
-CommitResult notWritten(Error error)
+CommitResult notWrittenResult(Error error)
 {
     return { CommitOutcome::NotWritten, 0, {}, std::move(error) };
 }
 
-CommitResult unknown(std::string message)
+CommitResult unknownResult(std::string message)
 {
     return { CommitOutcome::Unknown, 0, {}, { ErrorCode::OutcomeUnknown, std::move(message) } };
 }
 
-CommitResult committed(uint64_t revision, IntentHead head)
+CommitResult committedResult(uint64_t revision, IntentHead head)
 {
     return { CommitOutcome::Committed, revision, std::move(head), {} };
 }
 
-CommitResult conflict(IntentHead head)
+CommitResult conflictResult(IntentHead head)
 {
     Error error{ ErrorCode::Conflict,
                  fmt::format("the intent is at revision {}", head.m_revision) };
@@ -39,19 +39,19 @@
     return { CommitOutcome::Conflict, revision, std::move(head), std::move(error) };
 }
 
-/// The answer that the head alone gives, before anything is written.
-std::optional<CommitResult> answerFromHead(const IntentCommit &commit, const IntentHead &head)
+/// The result of the commit if the head alone decides it; nullopt if the change has to be written.
+std::optional<CommitResult> resultFromHead(const IntentCommit &commit, const IntentHead &head)
 {
     if (const IntentChange *change = findChange(head, commit.m_change))
-        return committed(change->m_revision, head);
+        return committedResult(change->m_revision, head);
     if (commit.m_age > IntentChangeRetention)
-        return unknown("the change was first sent too long ago to tell");
+        return unknownResult("the change was first sent too long ago to tell");
     if (commit.m_expectedRevision == head.m_revision)
         return std::nullopt;
-    const bool sentBefore = commit.m_age > Duration::zero();
-    if (sentBefore && !namesChangesAfter(head, commit.m_expectedRevision))
-        return unknown("the head no longer names all changes since");
-    return conflict(head);
+    const bool isRetry = commit.m_age > Duration::zero();
+    if (isRetry && !listsChangesAfter(head, commit.m_expectedRevision))
+        return unknownResult("the head no longer lists all changes since the expected revision");
+    return conflictResult(head);
 }
 
 } // namespace
@@ -78,7 +78,7 @@
 Result<IntentState> IntentStore::load()
 {
     Error error;
-    for (unsigned i = 0; i < LoadTries; ++i) {
+    for (unsigned i = 0; i < MaxLoadAttempts; ++i) {
         const auto head = loadHead();
         if (!head)
             return tl::unexpected(head.error());
@@ -92,7 +92,7 @@
             return IntentState{ head->m_revision, std::move(*text) };
         }
         error = snapshot.error();
-        // Not found: the head has moved on since, and the snapshot was dropped.
+        // Not found: a newer head was written meanwhile, and the snapshot was removed.
         if (error.m_code != ErrorCode::NotFound)
             break;
     }
@@ -103,16 +103,16 @@
 {
     const auto head = loadHead();
     if (!head)
-        return notWritten(head.error());
-    if (auto answer = answerFromHead(commit, *head))
-        return *answer;
+        return notWrittenResult(head.error());
+    if (auto result = resultFromHead(commit, *head))
+        return *result;
     const auto key = writeSnapshot(commit);
     if (!key)
-        return notWritten(key.error());
+        return notWrittenResult(key.error());
     CommitResult result = writeHead(commit, *head, *key);
-    const bool surelyLost = result.m_outcome == CommitOutcome::Conflict
-                            || result.m_outcome == CommitOutcome::NotWritten;
-    if (surelyLost)
+    const bool certainlyNotWritten = result.m_outcome == CommitOutcome::Conflict
+                                     || result.m_outcome == CommitOutcome::NotWritten;
+    if (certainlyNotWritten)
         (void)m_objects.remove(*key, std::nullopt);
     return result;
 }
@@ -128,10 +128,11 @@
         if (written)
             return key;
         const ErrorCode code = written.error().m_code;
-        // The name is ours alone, so an object that exists is our lost write.
+        // The key is unique to this call, so an existing object is our own write whose response was
+        // lost.
         if (code == ErrorCode::Conflict)
             return key;
-        if (code != ErrorCode::OutcomeUnknown || i >= m_settings.m_settleTries
+        if (code != ErrorCode::OutcomeUnknown || i >= m_settings.m_unknownOutcomeRetries
             || !pauseAfterFailure(i))
             return tl::unexpected(written.error());
     }
@@ -145,43 +146,45 @@
                                               commit.m_statement, snapshotKey, m_wallClock() });
     const std::string value = formatIntentHead(next);
     if (value.size() > ObjectValueLimit)
-        return notWritten({ ErrorCode::ResourceExhausted, "too many changes in a short time" });
+        return notWrittenResult(
+            { ErrorCode::ResourceExhausted, "too many changes in a short time" });
     bool mayBeWritten = false;
-    // A write that may still be under way is settled by sending the same write again: only one
-    // write can replace the version seen.
+    // A write with unknown outcome is resolved by sending it again: at most one write can replace
+    // the version in seen.
     for (unsigned i = 0;; ++i) {
         const auto written = m_objects.put(IntentHeadKey, value, seen.m_version);
         if (written) {
             next.m_version = *written;
             removeSnapshots(dropped);
             const uint64_t revision = next.m_revision;
-            return committed(revision, std::move(next));
+            return committedResult(revision, std::move(next));
         }
         const Error &error = written.error();
         if (error.m_code == ErrorCode::Conflict)
-            return afterConflict(commit, mayBeWritten);
+            return resolveConflict(commit, mayBeWritten);
         mayBeWritten = mayBeWritten || error.m_code == ErrorCode::OutcomeUnknown;
         if (!mayBeWritten)
-            return notWritten(error);
-        if (i >= m_settings.m_settleTries || !pauseAfterFailure(i))
-            return unknown(error.m_message);
+            return notWrittenResult(error);
+        if (i >= m_settings.m_unknownOutcomeRetries || !pauseAfterFailure(i))
+            return unknownResult(error.m_message);
     }
 }
 
-CommitResult IntentStore::afterConflict(const IntentCommit &commit, bool mayBeWritten)
+CommitResult IntentStore::resolveConflict(const IntentCommit &commit, bool mayBeWritten)
 {
     for (unsigned i = 0;; ++i) {
         const auto head = loadHead();
         if (head) {
             if (const IntentChange *change = findChange(*head, commit.m_change))
-                return committed(change->m_revision, *head);
-            if (!mayBeWritten || namesChangesAfter(*head, commit.m_expectedRevision))
-                return conflict(*head);
-            return unknown("the head no longer names all changes since");
+                return committedResult(change->m_revision, *head);
+            if (!mayBeWritten || listsChangesAfter(*head, commit.m_expectedRevision))
+                return conflictResult(*head);
+            return unknownResult(
+                "the head no longer lists all changes since the expected revision");
         }
-        if (i < m_settings.m_settleTries && pauseAfterFailure(i))
+        if (i < m_settings.m_unknownOutcomeRetries && pauseAfterFailure(i))
             continue;
-        return mayBeWritten ? unknown(head.error().m_message) : conflict({});
+        return mayBeWritten ? unknownResult(head.error().m_message) : conflictResult({});
     }
 }
 
@@ -191,12 +194,12 @@
         const Status removed = m_objects.remove(change.m_snapshot, std::nullopt);
         if (!removed && removed.error().m_code != ErrorCode::NotFound)
             log(LogPart::Store)
-                .info("Snapshot stays. key={} error={}", change.m_snapshot,
+                .info("Failed to remove a snapshot. key={} error={}", change.m_snapshot,
                       toString(removed.error()));
     }
 }
 
-Status IntentStore::dropOldSnapshots()
+Status IntentStore::removeOrphanedSnapshots()
 {
     const auto head = loadHead();
     if (!head)
@@ -206,7 +209,7 @@
     const auto listed = m_objects.list(IntentSnapshotPrefix);
     if (!listed)
         return tl::unexpected(listed.error());
-    // Keys sort by revision; what is older than every kept change can no longer be committed.
+    // Keys sort by revision. A snapshot older than every listed change can no longer be committed.
     const std::string oldest =
         fmt::format("{}{:020}", IntentSnapshotPrefix, head->m_changes.front().m_revision);
     for (const ObjectEntry &object : listed->m_objects) {
@@ -233,13 +236,14 @@
     }
 }
 
-// Without a sequence it reads the head, whether or not the list succeeds.
+// Without a sequence it reads the head even if the list call fails, so that changes are found by
+// polling. Returns false if the caller should back off.
 bool IntentStore::watchOnce(uint64_t &revision, std::optional<uint64_t> &sequence,
                             const Callback &callback)
 {
     if (!sequence) {
         const auto listed = m_objects.list(IntentHeadKey);
-        const bool read = applyNewer(revision, callback);
+        const bool read = reportNewer(revision, callback);
         if (!listed || !read)
             return false;
         sequence = listed->m_sequence;
@@ -249,13 +253,13 @@
         sequence.reset();
         return events.error().m_code == ErrorCode::NotFound;
     }
-    if (!events->m_events.empty() && !applyNewer(revision, callback))
+    if (!events->m_events.empty() && !reportNewer(revision, callback))
         return false;
     sequence = events->m_sequence;
     return true;
 }
 
-bool IntentStore::applyNewer(uint64_t &revision, const Callback &callback)
+bool IntentStore::reportNewer(uint64_t &revision, const Callback &callback)
 {
     const auto state = load();
     if (!state)
--- a/tests/store/intent_store_test.cpp
+++ b/tests/store/intent_store_test.cpp
@@ -48,7 +48,7 @@
         return state.value_or(IntentState{});
     }
 
-    /// The fault hits the nth write of the head only.
+    /// Applies @p fault to the nth write of the head only.
     void failHeadWrite(FakeFault fault, int nth = 1)
     {
         m_objects.m_faults = [fault, nth](bool write, const std::string &key) mutable {
@@ -62,7 +62,7 @@
     IntentStore m_store;
 };
 
-TEST_F(IntentStoreTest, CommitsInOrderAndRefusesTheLoser)
+TEST_F(IntentStoreTest, CommitsInOrderAndReportsAConflict)
 {
     EXPECT_EQ(load().m_revision, 0u);
     EXPECT_EQ(commit(change(0, "a")).m_revision, 1u);
@@ -84,7 +84,7 @@
     EXPECT_EQ(load().m_revision, 2u);
 }
 
-TEST_F(IntentStoreTest, LostAnswersAreSettled)
+TEST_F(IntentStoreTest, LostResponsesAreResolved)
 {
     uint64_t revision = 0;
     for (const FakeFault fault :
@@ -97,10 +97,10 @@
     }
 }
 
-TEST_F(IntentStoreTest, ALostAnswerMayHideAConflict)
+TEST_F(IntentStoreTest, AConflictIsFoundAfterALostResponse)
 {
     commit(change(0, "a"));
-    // Another operator's change gets in while the answer of ours is lost.
+    // Another operator's change is committed while the response to this one is lost.
     m_objects.m_faults = [this, first = true](bool write, const std::string &key) mutable {
         if (!write || key != IntentHeadKey || !first)
             return FakeFault::None;
@@ -116,7 +116,7 @@
     EXPECT_EQ(m_objects.count(IntentSnapshotPrefix), 2u);
 }
 
-TEST_F(IntentStoreTest, AnOutageBeforeTheWriteIsNotWrittenAndAfterItUnknown)
+TEST_F(IntentStoreTest, AnOutageBeforeTheHeadWriteIsNotWrittenAndDuringItUnknown)
 {
     m_objects.m_faults = [](bool write, const std::string &) {
         return write ? FakeFault::Refused : FakeFault::None;
@@ -134,7 +134,7 @@
     EXPECT_EQ(load().m_revision, 1u);
 }
 
-TEST_F(IntentStoreTest, AWriterThatComesBackTooLateIsToldUnknown)
+TEST_F(IntentStoreTest, ARetryAfterTheRetentionIsUnknown)
 {
     for (uint64_t i = 0; i < 100; ++i) {
         m_now += std::chrono::minutes(1);
@@ -147,22 +147,22 @@
     recent.m_age = std::chrono::minutes(5);
     EXPECT_EQ(commit(recent).m_revision, 96u);
     EXPECT_EQ(load().m_revision, 100u);
-    // Snapshots go with the changes that name them.
+    // Snapshots are removed together with the changes that reference them.
     EXPECT_EQ(m_objects.count(IntentSnapshotPrefix), 32u);
 }
 
-TEST_F(IntentStoreTest, OldOrphansAreDropped)
+TEST_F(IntentStoreTest, OrphanedSnapshotsAreRemoved)
 {
     commit(change(0, "a"));
     runOn(m_thread, [this] {
         ASSERT_TRUE(m_objects.put("intent/snapshot/00000000000000000000-lost", "x", NoObject));
-        ASSERT_TRUE(m_store.dropOldSnapshots());
+        ASSERT_TRUE(m_store.removeOrphanedSnapshots());
     });
     EXPECT_EQ(m_objects.count(IntentSnapshotPrefix), 1u);
     EXPECT_EQ(load().m_revision, 1u);
 }
 
-TEST_F(IntentStoreTest, WatchBringsHigherRevisionsOnlyAlsoWhileWatchesFail)
+TEST_F(IntentStoreTest, WatchReportsOnlyHigherRevisionsEvenIfCallsFail)
 {
     commit(change(0, "a"));
     m_objects.m_faults = [random = RandomEngine(5)](bool write, const std::string &) mutable {
--- a/tests/store/parts_test.cpp
+++ b/tests/store/parts_test.cpp
@@ -58,7 +58,7 @@
     return change;
 }
 
-TEST(IntentHeadTest, SurvivesItsTextForm)
+TEST(IntentHeadTest, FormatAndParseRoundTrip)
 {
     IntentHead head;
     appendChange(head,
@@ -77,19 +77,19 @@
         EXPECT_FALSE(parseIntentHead({ IntentHeadKey, text, 1 })) << text;
 }
 
-TEST(IntentHeadTest, KeepsTenMinutesAndAFewOfAnyAge)
+TEST(IntentHeadTest, KeepsRecentChangesAndAMinimumOfAnyAge)
 {
     IntentHead head;
     size_t dropped = 0;
     for (int i = 0; i < 200; ++i)
         dropped += appendChange(head, changeAt(i < 100 ? 0 : 100)).size();
     EXPECT_EQ(dropped, 100u);
-    EXPECT_FALSE(namesChangesAfter(head, 99));
-    EXPECT_TRUE(namesChangesAfter(head, 100));
-    // A clock far ahead leaves the last ones.
+    EXPECT_FALSE(listsChangesAfter(head, 99));
+    EXPECT_TRUE(listsChangesAfter(head, 100));
+    // A clock far in the future leaves the minimum number of changes.
     appendChange(head, changeAt(100'000));
     EXPECT_EQ(head.m_changes.size(), 32u);
-    // A clock that is behind does not bring the order down.
+    // A clock that is behind does not break the order by time.
     appendChange(head, changeAt(0));
     EXPECT_EQ(head.m_changes.back().m_at, WallTime(std::chrono::minutes(100'000)));
 }
