--- a/store/lease.cpp
+++ b/store/lease.cpp
@@ -8,29 +8,29 @@
 
 namespace {
 
-bool isMine(const LeaseContext &lease)
+bool isOwnRecord(const LeaseContext &lease)
 {
     return lease.m_record && lease.m_record->m_acquisition == lease.m_acquisition
            && !lease.m_record->m_released;
 }
 
-/// When nobody can hold the lease any more, if the object stays as it is.
-TimePoint freeAt(const LeaseContext &lease)
+/// When the lease can be acquired if the object does not change; TimePoint::max() before a read.
+TimePoint availableAt(const LeaseContext &lease)
 {
-    if (!lease.m_seenSince)
+    if (!lease.m_versionSeenAt)
         return TimePoint::max();
-    const bool free = lease.m_version == NoObject || isMine(lease)
+    const bool free = lease.m_version == NoObject || isOwnRecord(lease)
                       || (lease.m_record && lease.m_record->m_released);
     if (free)
-        return *lease.m_seenSince;
+        return *lease.m_versionSeenAt;
     const auto &record = lease.m_record;
-    return *lease.m_seenSince + (record ? record->m_duration : lease.m_settings.m_duration);
+    return *lease.m_versionSeenAt + (record ? record->m_duration : lease.m_settings.m_duration);
 }
 
-void ask(LeaseContext &lease, LeaseRequest request, Duration delay = {})
+void scheduleRequest(LeaseContext &lease, LeaseRequest request, Duration delay = {})
 {
     lease.m_request = request;
-    lease.m_requestAt = std::max(lease.m_now + delay, lease.m_holdOffUntil);
+    lease.m_requestAt = std::max(lease.m_now + delay, lease.m_backoffUntil);
 }
 
 void setHeld(LeaseContext &lease, TimePoint sentAt)
@@ -38,13 +38,13 @@
     const LeaseSettings &settings = lease.m_settings;
     lease.m_fencing = lease.m_version;
     lease.m_heldUntil = sentAt + settings.m_duration - settings.m_margin;
-    lease.m_renewAt = sentAt + settings.m_renewEvery;
+    lease.m_renewAt = sentAt + settings.m_renewInterval;
 }
 
-void seeVersion(LeaseContext &lease, ObjectVersion version, std::optional<LeaseRecord> record)
+void observeVersion(LeaseContext &lease, ObjectVersion version, std::optional<LeaseRecord> record)
 {
-    if (version != lease.m_version || !lease.m_seenSince)
-        lease.m_seenSince = lease.m_now;
+    if (version != lease.m_version || !lease.m_versionSeenAt)
+        lease.m_versionSeenAt = lease.m_now;
     lease.m_version = version;
     lease.m_record = std::move(record);
 }
@@ -78,25 +78,30 @@
                   { "expired", LeaseEvent::Expired },
                   { "stopped", LeaseEvent::Stopped } })
         .guard("mayHold", [](const LeaseContext &lease) { return lease.m_now < lease.m_heldUntil; })
-        .action("watchLease", [](LeaseContext &lease) { ask(lease, LeaseRequest::Read); })
+        .action("watchLease",
+                [](LeaseContext &lease) { scheduleRequest(lease, LeaseRequest::Read); })
         .action("readLater",
                 [](LeaseContext &lease) {
-                    ask(lease, LeaseRequest::Read, lease.m_settings.m_readEvery);
+                    scheduleRequest(lease, LeaseRequest::Read, lease.m_settings.m_pollInterval);
                 })
-        .action("readLease", [](LeaseContext &lease) { ask(lease, LeaseRequest::Read); })
-        .action("writeLease", [](LeaseContext &lease) { ask(lease, LeaseRequest::Write); })
+        .action("readLease",
+                [](LeaseContext &lease) { scheduleRequest(lease, LeaseRequest::Read); })
+        .action("writeLease",
+                [](LeaseContext &lease) { scheduleRequest(lease, LeaseRequest::Write); })
         .action("writeRelease",
                 [](LeaseContext &lease) {
                     lease.m_release = true;
-                    ask(lease, LeaseRequest::Write);
+                    scheduleRequest(lease, LeaseRequest::Write);
+                })
+        .action("waitToRenew",
+                [](LeaseContext &lease) { scheduleRequest(lease, LeaseRequest::None); })
+        .action("retryLater",
+                [](LeaseContext &lease) {
+                    scheduleRequest(lease, lease.m_request, lease.m_settings.m_retryDelay);
                 })
-        .action("waitToRenew", [](LeaseContext &lease) { ask(lease, LeaseRequest::None); })
-        .action(
-            "retryLater",
-            [](LeaseContext &lease) { ask(lease, lease.m_request, lease.m_settings.m_retryEvery); })
         .action("holdOff",
                 [](LeaseContext &lease) {
-                    lease.m_holdOffUntil = lease.m_now + lease.m_settings.m_retryEvery;
+                    lease.m_backoffUntil = lease.m_now + lease.m_settings.m_retryDelay;
                 })
         .action("dropLease", [](LeaseContext &lease) { lease.m_heldUntil = TimePoint{}; });
     return bindings;
@@ -150,7 +155,7 @@
         return { LeaseRequest::None, std::min(m_context.m_renewAt, m_context.m_heldUntil), {}, 0 };
     if (now < m_context.m_requestAt) {
         const TimePoint free =
-            state() == LeaseState::Standby ? freeAt(m_context) : TimePoint::max();
+            state() == LeaseState::Standby ? availableAt(m_context) : TimePoint::max();
         return { LeaseRequest::None, std::min(m_context.m_requestAt, free), {}, 0 };
     }
     if (m_context.m_request == LeaseRequest::Read)
@@ -162,15 +167,15 @@
 
 void Lease::dispatchTimeEvents()
 {
-    if (m_stopWanted)
+    if (m_releaseRequested)
         dispatch(LeaseEvent::Stopped);
-    m_stopWanted = false;
+    m_releaseRequested = false;
     const bool holding = m_context.m_heldUntil != TimePoint{};
     if (holding && m_context.m_now >= m_context.m_heldUntil)
         dispatch(LeaseEvent::Expired);
     if (state() == LeaseState::Held && m_context.m_now >= m_context.m_renewAt)
         dispatch(LeaseEvent::RenewDue);
-    const TimePoint wantedAt = std::max(freeAt(m_context), m_context.m_holdOffUntil);
+    const TimePoint wantedAt = std::max(availableAt(m_context), m_context.m_backoffUntil);
     if (state() == LeaseState::Standby && m_context.m_now >= wantedAt)
         dispatch(LeaseEvent::Wanted);
 }
@@ -178,25 +183,25 @@
 void Lease::onRead(TimePoint now, const Result<VersionedObject> &object)
 {
     m_context.m_now = now;
-    dispatch(noteRead(object));
+    dispatch(applyRead(object));
 }
 
-LeaseEvent Lease::noteRead(const Result<VersionedObject> &object)
+LeaseEvent Lease::applyRead(const Result<VersionedObject> &object)
 {
     const ObjectVersion replaced = m_context.m_version;
     if (!object && object.error().m_code != ErrorCode::NotFound)
         return LeaseEvent::StoreError;
     if (!object) {
-        seeVersion(m_context, NoObject, std::nullopt);
+        observeVersion(m_context, NoObject, std::nullopt);
     } else {
         auto record = parseLeaseRecord(object->m_value);
-        seeVersion(m_context, object->m_version,
-                   record ? std::optional(std::move(*record)) : std::nullopt);
+        observeVersion(m_context, object->m_version,
+                       record ? std::optional(std::move(*record)) : std::nullopt);
     }
     if (m_context.m_version == replaced)
         return LeaseEvent::ReadUnchanged;
-    const auto sentAt = std::exchange(m_context.m_unsettledSince, std::nullopt);
-    if (!isMine(m_context))
+    const auto sentAt = std::exchange(m_context.m_unresolvedSince, std::nullopt);
+    if (!isOwnRecord(m_context))
         return LeaseEvent::ReadOther;
     if (sentAt && state() == LeaseState::ReadingBack)
         setHeld(m_context, *sentAt);
@@ -207,8 +212,8 @@
 {
     m_context.m_now = now;
     if (version) {
-        seeVersion(m_context, *version, ownRecord(m_context));
-        m_context.m_unsettledSince.reset();
+        observeVersion(m_context, *version, ownRecord(m_context));
+        m_context.m_unresolvedSince.reset();
         if (state() != LeaseState::Releasing)
             setHeld(m_context, m_context.m_sentAt);
         dispatch(LeaseEvent::Written);
@@ -219,8 +224,8 @@
         dispatch(LeaseEvent::Conflict);
         return;
     case ErrorCode::OutcomeUnknown:
-        if (!m_context.m_unsettledSince)
-            m_context.m_unsettledSince = m_context.m_sentAt;
+        if (!m_context.m_unresolvedSince)
+            m_context.m_unresolvedSince = m_context.m_sentAt;
         dispatch(LeaseEvent::AnswerLost);
         return;
     default:
@@ -230,13 +235,13 @@
 
 void Lease::release()
 {
-    m_stopWanted = true;
+    m_releaseRequested = true;
     m_context.m_heldUntil = TimePoint{};
 }
 
 std::optional<FencingNumber> Lease::fencingNumber(TimePoint now) const
 {
-    if (m_stopWanted || now >= m_context.m_heldUntil)
+    if (m_releaseRequested || now >= m_context.m_heldUntil)
         return std::nullopt;
     return m_context.m_fencing;
 }
--- a/store/lease_keeper.cpp
+++ b/store/lease_keeper.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Bounds how late a release is noticed.
-constexpr Duration LongestSleep = Millis(200);
+/// Limits the delay until a release is noticed.
+constexpr Duration MaxSleep = Millis(200);
 
 } // namespace
 
@@ -39,7 +39,7 @@
         }
         case LeaseRequest::None:
             if (!sleepFor(m_context,
-                          std::clamp<Duration>(step.m_until - now, Millis(1), LongestSleep)))
+                          std::clamp<Duration>(step.m_waitUntil - now, Millis(1), MaxSleep)))
                 return;
         }
     }
--- a/store/lease_keeper.h
+++ b/store/lease_keeper.h
@@ -7,18 +7,20 @@
 
 namespace stackquay {
 
-/// For fibers of one thread.
+/// To be used by the fibers of one thread.
 class LeaseKeeper
 {
 public:
     LeaseKeeper(ObjectApi &objects, boost::asio::io_context &context, const LeaseChart &chart,
                 LeaseSettings settings);
 
-    /// Runs until the thread stops, or until release() is through.
+    /// Acquires and renews the lease until the thread is stopping, or until the lease is released
+    /// after release().
     void run();
-    /// Lets go at once, and tells the others if the store can be reached.
+    /// Gives the lease up at once. run() then writes the release to the store, so that other nodes
+    /// need not wait for the lease to expire.
     void release() { m_lease.release(); }
-    /// The number to put on an order that goes out now; none if the lease is not held.
+    /// The fencing number to attach to an order sent now; nullopt if the lease is not held.
     std::optional<FencingNumber> fencingNumber() const;
     const Lease &lease() const { return m_lease; }
 
--- a/tests/store/lease_test.cpp
+++ b/tests/store/lease_test.cpp
@@ -27,12 +27,12 @@
     settings.m_holder = holder;
     settings.m_duration = Seconds(10);
     settings.m_margin = Seconds(1);
-    settings.m_renewEvery = Seconds(3);
-    settings.m_readEvery = Seconds(2);
+    settings.m_renewInterval = Seconds(3);
+    settings.m_pollInterval = Seconds(2);
     return settings;
 }
 
-/// The one lease object of a simulated store.
+/// A simulated store that contains one lease object.
 struct SimObject {
     ObjectVersion m_version = NoObject;
     std::string m_value;
@@ -53,7 +53,8 @@
     }
 };
 
-/// A node with its own clock, which pauses, and whose calls take effect and answer when they like.
+/// A node with its own clock rate, which can be paused, and whose calls are applied and answered
+/// after random delays.
 struct SimNode {
     SimNode(const std::string &name, double rate)
         : m_lease(chart(), settings(name), name)
@@ -69,15 +70,16 @@
     double m_rate;
     Duration m_pausedUntil{};
     std::optional<LeaseStep> m_step; ///< The call in progress.
-    Duration m_effectAt{};
-    Duration m_answerAt{};
-    bool m_effectDone = false;
-    bool m_answerLost = false;
+    Duration m_applyAt{};
+    Duration m_responseAt{};
+    bool m_applied = false;
+    bool m_responseLost = false;
     Result<ObjectVersion> m_written;
     Result<VersionedObject> m_read;
 };
 
-/// Nodes racing for one lease under a seeded schedule of pauses, delays, lost answers and outages.
+/// Nodes that compete for one lease under a seeded schedule of pauses, delays, lost responses and
+/// outages.
 class LeaseSimulation
 {
 public:
@@ -93,8 +95,8 @@
         m_faults = faults;
         for (const Duration end = m_now + length; m_now < end; m_now += Tick) {
             if (faults && chance(200))
-                m_outageUntil = m_now + below(Seconds(30));
-            applyStray();
+                m_outageUntil = m_now + randomBelow(Seconds(30));
+            applyDelayedWrites();
             for (const auto &node : m_nodes)
                 advance(*node);
             check();
@@ -110,55 +112,56 @@
     }
 
     SimNode &node(size_t index) { return *m_nodes[index]; }
-    size_t changes() const { return m_changes; }
+    size_t holderChanges() const { return m_holderChanges; }
 
 private:
     bool chance(unsigned oneIn) { return m_random() % oneIn == 0; }
-    Duration below(Duration bound) { return Duration(m_random() % bound.count()); }
+    Duration randomBelow(Duration bound) { return Duration(m_random() % bound.count()); }
 
     void advance(SimNode &node)
     {
         if (m_faults && chance(300))
-            node.m_pausedUntil = m_now + below(Seconds(40));
+            node.m_pausedUntil = m_now + randomBelow(Seconds(40));
         if (node.m_step)
-            progress(node);
+            advanceCall(node);
         if (node.m_step || m_now < node.m_pausedUntil)
             return;
         const LeaseStep step = node.m_lease.next(node.localTime(m_now));
         if (step.m_request == LeaseRequest::None)
             return;
         node.m_step = step;
-        node.m_effectDone = false;
-        node.m_effectAt = m_now + (m_faults ? below(Seconds(1)) : Duration::zero());
-        node.m_answerAt = node.m_effectAt + (m_faults ? below(Seconds(1)) : Duration::zero());
-        node.m_answerLost = m_faults && chance(6);
-        if (node.m_answerLost && chance(2))
-            node.m_effectAt = m_now + below(Seconds(40));
+        node.m_applied = false;
+        node.m_applyAt = m_now + (m_faults ? randomBelow(Seconds(1)) : Duration::zero());
+        node.m_responseAt =
+            node.m_applyAt + (m_faults ? randomBelow(Seconds(1)) : Duration::zero());
+        node.m_responseLost = m_faults && chance(6);
+        if (node.m_responseLost && chance(2))
+            node.m_applyAt = m_now + randomBelow(Seconds(40));
     }
 
-    void progress(SimNode &node)
+    void advanceCall(SimNode &node)
     {
-        if (!node.m_effectDone && m_now >= node.m_effectAt)
-            takeEffect(node);
-        if (m_now < node.m_answerAt || m_now < node.m_pausedUntil)
+        if (!node.m_applied && m_now >= node.m_applyAt)
+            applyCall(node);
+        if (m_now < node.m_responseAt || m_now < node.m_pausedUntil)
             return;
         const TimePoint local = node.localTime(m_now);
         const LeaseStep step = *std::exchange(node.m_step, std::nullopt);
-        if (!node.m_effectDone && step.m_request == LeaseRequest::Write)
-            m_stray.push_back({ node.m_effectAt, step });
+        if (!node.m_applied && step.m_request == LeaseRequest::Write)
+            m_delayedWrites.push_back({ node.m_applyAt, step });
         const auto lost = makeError(ErrorCode::OutcomeUnknown, "sim");
         if (step.m_request == LeaseRequest::Write) {
-            node.m_lease.onWritten(local, node.m_answerLost ? lost : node.m_written);
+            node.m_lease.onWritten(local, node.m_responseLost ? lost : node.m_written);
             return;
         }
-        const bool readFailed = node.m_answerLost || !node.m_effectDone;
+        const bool readFailed = node.m_responseLost || !node.m_applied;
         const auto unavailable = makeError(ErrorCode::Unavailable, "sim");
         node.m_lease.onRead(local, readFailed ? unavailable : node.m_read);
     }
 
-    void takeEffect(SimNode &node)
+    void applyCall(SimNode &node)
     {
-        node.m_effectDone = true;
+        node.m_applied = true;
         if (m_now < m_outageUntil) {
             node.m_written = makeError(ErrorCode::Unavailable, "sim");
             node.m_read = makeError(ErrorCode::Unavailable, "sim");
@@ -169,13 +172,13 @@
         }
     }
 
-    /// Writes that take effect long after their senders gave up on the answer.
-    void applyStray()
+    /// Applies writes that were delayed until after their senders stopped waiting for the response.
+    void applyDelayedWrites()
     {
-        std::erase_if(m_stray, [this](const auto &stray) {
-            if (m_now < stray.first)
+        std::erase_if(m_delayedWrites, [this](const auto &delayed) {
+            if (m_now < delayed.first)
                 return false;
-            (void)m_object.put(stray.second.m_value, stray.second.m_condition);
+            (void)m_object.put(delayed.second.m_value, delayed.second.m_condition);
             return true;
         });
     }
@@ -189,9 +192,9 @@
                 continue;
             ASSERT_GE(*number, m_highest);
             if (*number > m_highest && m_lastHolder != node.get())
-                ++m_changes;
+                ++m_holderChanges;
             else
-                ASSERT_EQ(m_lastHolder, node.get()) << "two holders with one fencing number";
+                ASSERT_EQ(m_lastHolder, node.get()) << "two holders with the same fencing number";
             m_highest = *number;
             m_lastHolder = node.get();
         }
@@ -200,32 +203,32 @@
     RandomEngine m_random;
     std::vector<std::unique_ptr<SimNode>> m_nodes;
     SimObject m_object;
-    std::vector<std::pair<Duration, LeaseStep>> m_stray;
+    std::vector<std::pair<Duration, LeaseStep>> m_delayedWrites;
     Duration m_now{};
     Duration m_outageUntil{};
     bool m_faults = false;
     FencingNumber m_highest = 0;
     const SimNode *m_lastHolder = nullptr;
-    size_t m_changes = 0;
+    size_t m_holderChanges = 0;
 };
 
-TEST(LeaseTest, OneHolderWithGrowingNumbersUnderSeededFaults)
+TEST(LeaseTest, AtMostOneHolderWithIncreasingFencingNumbersUnderSeededFaults)
 {
-    size_t changes = 0;
+    size_t holderChanges = 0;
     for (uint64_t seed = 1; seed <= 400; ++seed) {
         LeaseSimulation simulation(seed);
         simulation.run(Seconds(600), true);
         ASSERT_FALSE(testing::Test::HasFatalFailure()) << "seed " << seed;
-        // What is left of pauses and outages ends within 40 s; then one of them holds.
+        // The remaining pauses and outages end within 40 s; then one node holds the lease.
         simulation.run(Seconds(80), false);
         ASSERT_FALSE(testing::Test::HasFatalFailure()) << "seed " << seed;
         EXPECT_EQ(simulation.holders(), 1u) << "seed " << seed;
-        changes += simulation.changes();
+        holderChanges += simulation.holderChanges();
     }
-    EXPECT_GT(changes, 400u) << "the schedules must make the lease change hands";
+    EXPECT_GT(holderChanges, 400u) << "the schedules must make the lease change holders";
 }
 
-TEST(LeaseTest, AReleasedLeaseIsTakenWithoutWaiting)
+TEST(LeaseTest, AReleasedLeaseIsAcquiredWithoutWaitingForItsExpiry)
 {
     LeaseSimulation simulation(1);
     simulation.run(Seconds(5), false);
@@ -238,7 +241,7 @@
     EXPECT_EQ(simulation.holders(), 1u);
 }
 
-/// A lease that was acquired at its time 0.
+/// A lease whose first write was sent at m_start and answered 1 s later.
 class HeldLeaseTest : public testing::Test
 {
 protected:
@@ -257,13 +260,13 @@
     Lease m_lease{ chart(), settings("a"), "a" };
 };
 
-TEST_F(HeldLeaseTest, CountsFromTheSendingOfTheWrite)
+TEST_F(HeldLeaseTest, TheDurationStartsWhenTheWriteIsSent)
 {
     EXPECT_EQ(m_lease.fencingNumber(m_start + Millis(8999)), 1u);
     EXPECT_FALSE(m_lease.fencingNumber(m_start + Millis(9000)));
 }
 
-TEST_F(HeldLeaseTest, ARenewalWhoseAnswerIsLostIsReadBack)
+TEST_F(HeldLeaseTest, ARenewalWhoseResponseIsLostIsReadBack)
 {
     const TimePoint renewal = m_start + Seconds(3);
     const auto write = m_lease.next(renewal);
@@ -277,7 +280,7 @@
     EXPECT_FALSE(m_lease.fencingNumber(renewal + Millis(9000)));
 }
 
-TEST_F(HeldLeaseTest, ThePausedHolderFindsThatItLostTheLease)
+TEST_F(HeldLeaseTest, APausedHolderDetectsThatItLostTheLease)
 {
     LeaseRecord other{ "b", "b", Seconds(10), false };
     ASSERT_TRUE(m_object.put(formatLeaseRecord(other), 1));
@@ -292,7 +295,7 @@
     EXPECT_FALSE(m_lease.fencingNumber(later));
 }
 
-TEST_F(HeldLeaseTest, AMalformedRecordIsWaitedOut)
+TEST_F(HeldLeaseTest, AMalformedRecordExpiresAfterTheConfiguredDuration)
 {
     Lease second(chart(), settings("b"), "b");
     ASSERT_TRUE(m_object.put("nonsense", 1));
@@ -302,7 +305,7 @@
     EXPECT_EQ(second.next(m_start + Seconds(10)).m_request, LeaseRequest::Write);
 }
 
-TEST(LeaseKeeperTest, HoldsRenewsAndHandsOverOnThePlatform)
+TEST(LeaseKeeperTest, AcquiresRenewsAndHandsOverOnTheSimulatedPlatform)
 {
     standin::Hosted<standin::PlatformStandin> platform;
     platform->setFault({ standin::PlatformFaultMode::LoseAnswer, {}, 1 });
@@ -314,7 +317,7 @@
         store.m_writesPerSecond = store.m_readsPerSecond = 1e6;
         StoreClient client(thread.context(), store, RandomEngine(1));
         LeaseSettings quick = settings("a");
-        quick.m_renewEvery = quick.m_readEvery = quick.m_retryEvery = Millis(1);
+        quick.m_renewInterval = quick.m_pollInterval = quick.m_retryDelay = Millis(1);
         LeaseKeeper first(client, thread.context(), chart(), quick);
         LeaseKeeper second(client, thread.context(), chart(), quick);
         boost::fibers::promise<void> firstEnded;
