--- a/store/claim_writer.cpp
+++ b/store/claim_writer.cpp
@@ -42,8 +42,8 @@
 void ClaimWriter::runWriteLoop()
 {
     unsigned failures = 0;
-    bool going = m_shared.m_runtime.m_sleep(m_shared.m_settings.m_batchWindow);
-    while (going) {
+    bool running = m_shared.m_runtime.m_sleep(m_shared.m_settings.m_batchWindow);
+    while (running) {
         moveQueueToBatch();
         refusePastDeadline();
         if (m_batch.empty() && m_abandoned.empty())
@@ -52,11 +52,11 @@
         if (committed) {
             m_reader.endBatch();
             failures = 0;
-            going =
+            running =
                 m_queue.empty() || m_shared.m_runtime.m_sleep(m_shared.m_settings.m_batchWindow);
             continue;
         }
-        going = backOffAfter(committed.error(), failures++);
+        running = backOffAfter(committed.error(), failures++);
     }
     moveQueueToBatch();
     while (!m_batch.empty()) {
@@ -77,13 +77,13 @@
     const bool raced = error.m_code == ErrorCode::Conflict && failures == 0;
     if (raced)
         return true;
-    Duration left = backoffDelay(m_shared.m_settings.m_backoff, failures, m_shared.m_random);
-    while (left > Duration::zero()) {
-        if (!m_shared.m_runtime.m_sleep(std::min(left, MaxSleepSlice)))
+    Duration remaining = backoffDelay(m_shared.m_settings.m_backoff, failures, m_shared.m_random);
+    while (remaining > Duration::zero()) {
+        if (!m_shared.m_runtime.m_sleep(std::min(remaining, MaxSleepSlice)))
             return false;
         if (!resolvable && !m_queue.empty())
             return true;
-        left -= MaxSleepSlice;
+        remaining -= MaxSleepSlice;
     }
     return true;
 }
--- a/store/store_channel.cpp
+++ b/store/store_channel.cpp
@@ -70,8 +70,9 @@
         const Status budget = waitForBudget(call, deadline);
         if (!budget)
             return tl::unexpected(budget.error());
-        const Duration left = deadline - Clock::now();
-        auto response = tryOnce(call, std::clamp<Duration>(left, Millis(1), call.m_tryTimeout));
+        const Duration remaining = deadline - Clock::now();
+        auto response =
+            tryOnce(call, std::clamp<Duration>(remaining, Millis(1), call.m_tryTimeout));
         if (response || !m_settings.m_retry || !isRetryable(response.error()))
             return response;
         const Duration delay = backoffDelay(m_settings.m_backoff, failures, m_random);
@@ -149,7 +150,7 @@
     if (m_settings.m_addresses.empty())
         return makeError(ErrorCode::Unavailable, "no address of the store is configured");
     const TimePoint deadline = Clock::now() + timeout;
-    const auto left = [&] { return std::max<Duration>(deadline - Clock::now(), Millis(1)); };
+    const auto remaining = [&] { return std::max<Duration>(deadline - Clock::now(), Millis(1)); };
     const Address address = m_settings.m_addresses[m_addressIndex];
     auto connection = m_pool.acquire(address, timeout, true);
     if (!connection) {
@@ -157,13 +158,13 @@
         const bool cancelled = error.m_code == ErrorCode::Cancelled;
         return makeError(cancelled ? error.m_code : ErrorCode::Unavailable, error.m_message);
     }
-    const Status sent = (*connection)->send(call.m_request, left());
+    const Status sent = (*connection)->send(call.m_request, remaining());
     if (!sent)
         return tl::unexpected(lostResponse(sent.error(), call.m_kind));
-    auto response = (*connection)->readHeader(left());
+    auto response = (*connection)->readHeader(remaining());
     if (!response)
         return tl::unexpected(lostResponse(response.error(), call.m_kind));
-    auto body = (*connection)->readWhole(left());
+    auto body = (*connection)->readWhole(remaining());
     if (!body)
         return tl::unexpected(lostResponse(body.error(), call.m_kind));
     response->m_body = std::move(*body);
--- a/tests/store/claim_bench_test.cpp
+++ b/tests/store/claim_bench_test.cpp
@@ -99,8 +99,8 @@
                     const ClaimLoad load{ rate, buckets, window };
                     printRow(load, runLoad(thread, client, load));
                     std::fflush(stdout);
-                    const auto left = client.list("claims");
-                    for (const auto &object : left->m_objects)
+                    const auto remaining = client.list("claims");
+                    for (const auto &object : remaining->m_objects)
                         (void)client.remove(object.m_key, std::nullopt);
                 }
             }
--- a/tests/store/claim_test.cpp
+++ b/tests/store/claim_test.cpp
@@ -278,7 +278,7 @@
         for (auto &fiber : fibers)
             fiber.join();
         m_faults = false;
-        // The writes that are still delayed are applied now.
+        // Writes that are still delayed are applied now, or never if their version has changed.
         for (int i = 0; i < Attempts * 4; ++i)
             m_simulation.m_objects.releaseDelayed();
         for (int key = 0; key < Keys; ++key)
