--- a/tests/store/parts_test.cpp
+++ b/tests/store/parts_test.cpp
@@ -5,21 +5,21 @@
 namespace stackquay {
 namespace {
 
-TEST(CallBudgetTest, TakersQueueAndTheLimitRefuses)
+TEST(CallBudgetTest, CallersQueueUpToTheirMaxWait)
 {
     const TimePoint start{};
     CallBudget budget = makeCallBudget(10, 2, start);
-    EXPECT_EQ(takeCall(budget, start, Seconds(1)), Duration::zero());
-    EXPECT_EQ(takeCall(budget, start, Seconds(1)), Duration::zero());
-    EXPECT_EQ(takeCall(budget, start, Seconds(1)), Millis(100));
-    EXPECT_EQ(takeCall(budget, start, Seconds(1)), Millis(200));
-    EXPECT_FALSE(takeCall(budget, start, Millis(250)));
-    // The refused taker left no debt behind.
-    EXPECT_EQ(takeCall(budget, start, Millis(300)), Millis(300));
-    EXPECT_EQ(takeCall(budget, start + Seconds(60), Seconds(1)), Duration::zero());
+    EXPECT_EQ(reserveCall(budget, start, Seconds(1)), Duration::zero());
+    EXPECT_EQ(reserveCall(budget, start, Seconds(1)), Duration::zero());
+    EXPECT_EQ(reserveCall(budget, start, Seconds(1)), Millis(100));
+    EXPECT_EQ(reserveCall(budget, start, Seconds(1)), Millis(200));
+    EXPECT_FALSE(reserveCall(budget, start, Millis(250)));
+    // The refused call has taken no token.
+    EXPECT_EQ(reserveCall(budget, start, Millis(300)), Millis(300));
+    EXPECT_EQ(reserveCall(budget, start + Seconds(60), Seconds(1)), Duration::zero());
 }
 
-TEST(BackoffTest, GrowsToItsBoundWithFullJitter)
+TEST(BackoffTest, DoublesUpToItsMaximumWithFullJitter)
 {
     const BackoffSettings settings{ Millis(100), Millis(1000) };
     RandomEngine random(7);
@@ -36,10 +36,10 @@
     }
 }
 
-TEST(CircuitTest, OpensAfterFailuresInARowOnly)
+TEST(CircuitBreakerTest, OpensOnlyAfterFailuresInARow)
 {
-    Circuit circuit;
-    circuit.m_opensAfter = 2;
+    CircuitBreaker circuit;
+    circuit.m_failureThreshold = 2;
     EXPECT_FALSE(recordFailure(circuit));
     EXPECT_FALSE(recordSuccess(circuit));
     EXPECT_FALSE(recordFailure(circuit));
@@ -58,7 +58,7 @@
     return change;
 }
 
-TEST(IntentHeadTest, SurvivesItsTextForm)
+TEST(IntentHeadTest, FormatAndParseRoundTrip)
 {
     IntentHead head;
     appendChange(head,
@@ -77,19 +77,19 @@
         EXPECT_FALSE(parseIntentHead({ IntentHeadKey, text, 1 })) << text;
 }
 
-TEST(IntentHeadTest, KeepsTenMinutesAndAFewOfAnyAge)
+TEST(IntentHeadTest, KeepsRecentChangesAndAMinimumOfAnyAge)
 {
     IntentHead head;
     size_t dropped = 0;
     for (int i = 0; i < 200; ++i)
         dropped += appendChange(head, changeAt(i < 100 ? 0 : 100)).size();
     EXPECT_EQ(dropped, 100u);
-    EXPECT_FALSE(namesChangesAfter(head, 99));
-    EXPECT_TRUE(namesChangesAfter(head, 100));
-    // A clock far ahead leaves the last ones.
+    EXPECT_FALSE(listsChangesAfter(head, 99));
+    EXPECT_TRUE(listsChangesAfter(head, 100));
+    // A clock far in the future leaves the minimum number of changes.
     appendChange(head, changeAt(100'000));
     EXPECT_EQ(head.m_changes.size(), 32u);
-    // A clock that is behind does not bring the order down.
+    // A clock that is behind does not break the order by time.
     appendChange(head, changeAt(0));
     EXPECT_EQ(head.m_changes.back().m_at, WallTime(std::chrono::minutes(100'000)));
 }
