--- a/policy/cost_model.cpp
+++ b/policy/cost_model.cpp
@@ -8,12 +8,13 @@
 
 using FloatMicros = std::chrono::duration<double, std::micro>;
 
-// The features are scaled to be of the order of one.
+// Divisors that bring each feature to the order of magnitude of one.
 constexpr double TokenScale = 1'000;
 constexpr double ContextScale = 100'000;
 constexpr double BatchScale = 16;
 
-// Wide guesses for a model that nobody has seen; a few samples replace them.
+// Initial weights in microseconds for a model without samples. Their large covariance lets a few
+// samples replace them.
 constexpr std::array<double, 4> DefaultPrefill = { 2'000, 50'000, 10'000, 0 };
 constexpr std::array<double, 2> DefaultDecode = { 10'000, 2'000 };
 constexpr double DefaultCovariance = 1'000;
@@ -22,7 +23,7 @@
 Features<4> prefillFeatures(const PrefillWork &work)
 {
     const double tokens = static_cast<double>(work.m_uncachedTokens) / TokenScale;
-    // The mean context of the prefilled tokens: what attention has to read for each.
+    // Mean number of earlier tokens that attention reads for each prefilled token.
     const double context =
         static_cast<double>(work.m_cachedTokens) + static_cast<double>(work.m_uncachedTokens) / 2;
     const double batch = static_cast<double>(work.m_batch) / BatchScale;
@@ -62,8 +63,8 @@
     return leastSquaresPrior(sum, SiblingCovariance);
 }
 
-/// Long prefills differ from short ones by orders of magnitude. Dividing a sample by its size
-/// makes the relative error count, so that long ones do not spoil the fit of short ones.
+/// Adds a sample scaled down by its size, so that the fit minimizes the relative error. The sizes
+/// of prefills differ by orders of magnitude, and the absolute errors of long ones would dominate.
 void observeRelative(LeastSquares<4> &model, Features<4> features, double micros)
 {
     const double size = 1 + features[1];
--- a/policy/cost_model.h
+++ b/policy/cost_model.h
@@ -1,4 +1,5 @@
-/// What an engine's steps cost, learned online for each endpoint from observed times.
+/// Predicts the time of an engine's prefills and decode steps. Each endpoint has a linear model
+/// that is fitted online to observed times.
 #pragma once
 
 #include <cstdint>
@@ -10,43 +11,48 @@
 
 namespace stackquay {
 
-/// The work of one prefill.
+/// Size of one prefill.
 struct PrefillWork {
-    uint64_t m_uncachedTokens = 0; ///< Tokens to prefill.
-    uint64_t m_cachedTokens = 0; ///< Tokens before them that are cached.
-    uint32_t m_batch = 0; ///< Requests that decode on the engine meanwhile.
+    uint64_t m_uncachedTokens = 0; ///< Prompt tokens to prefill.
+    uint64_t m_cachedTokens = 0; ///< Preceding tokens whose KV cache is reused.
+    uint32_t m_batch = 0; ///< Requests decoding on the engine at the same time.
 };
 
-/// What lies ahead of a new request on an endpoint.
+/// Work on an endpoint that a new request waits for or shares the engine with.
 struct EndpointQueue {
-    Duration m_prefillAhead{}; ///< Predicted time of prefills granted before, less what has passed.
-    uint32_t m_batch = 0; ///< Requests that decode.
+    /// Predicted time of the prefills granted earlier, minus the time they have already run.
+    Duration m_prefillAhead{};
+    uint32_t m_batch = 0; ///< Requests that are decoding.
 };
 
-/// Features of a prefill: constant, tokens, tokens x context, tokens x batch. Times in
-/// microseconds. Of a decode step: constant, batch.
+/// Linear models of one endpoint; they predict microseconds.
 struct CostModel {
-    std::string m_version; ///< The model's version that the samples belong to.
-    LeastSquares<4> m_prefill;
-    LeastSquares<2> m_decode;
+    std::string m_version; ///< Version of the served model that the samples belong to.
+    LeastSquares<4> m_prefill; ///< Features: constant, tokens, tokens x context, tokens x batch.
+    LeastSquares<2> m_decode; ///< Features: constant, batch.
 };
 
-/// A model for an endpoint without samples: the mean of its siblings, which serve the same model
-/// and version, weighed by their samples, or a wide default. Samples soon replace it.
+/// Initial model of an endpoint that has no samples: the mean of those @p siblings that serve
+/// @p version, weighted by their number of samples, or else a default with a large uncertainty. A
+/// few samples replace it.
 CostModel coldStartCostModel(std::string version, std::span<const CostModel> siblings = {});
 
-/// Starts again when the endpoint serves another version. Returns whether it did.
+/// Replaces @p model by a cold start if its endpoint now serves another @p version. Returns whether
+/// it did.
 bool resetForVersion(CostModel &model, const std::string &version,
                      std::span<const CostModel> siblings = {});
 
-/// Notes that @p work took @p taken from its start on the engine to the first token.
+/// Adds a sample: @p work took @p taken from its start on the engine to the first token. Ignored if
+/// there was nothing to prefill or @p taken is negative.
 void observePrefill(CostModel &model, const PrefillWork &work, Duration taken);
-/// Notes the time of one decode step (one token) with @p batch requests decoding.
+/// Adds a sample: one decode step (one token for each request) took @p taken with @p batch requests
+/// decoding. Ignored if @p batch is zero or @p taken is negative.
 void observeDecodeStep(CostModel &model, uint32_t batch, Duration taken);
 
 Duration predictPrefill(const CostModel &model, const PrefillWork &work);
 Duration predictDecodeStep(const CostModel &model, uint32_t batch);
-/// Time to first token: the queue ahead, the own prefill beside the decoding batch, one step.
+/// Time to first token: the prefills ahead, the request's own prefill beside the decoding batch,
+/// and one decode step.
 Duration predictTtft(const CostModel &model, const EndpointQueue &queue, uint64_t uncachedTokens,
                      uint64_t cachedTokens = 0);
 
--- a/policy/least_squares.h
+++ b/policy/least_squares.h
@@ -15,20 +15,22 @@
     std::array<double, N> m_weights{};
     std::array<std::array<double, N>, N> m_covariance{};
     double m_deviation = 0; ///< Running mean of the absolute error.
-    uint64_t m_samples = 0;
+    uint64_t m_samples = 0; ///< Number of samples so far.
 };
 
 struct LeastSquaresSettings {
-    double m_forgetting = 0.99; ///< Weight of the past for each new sample.
-    double m_maxCovariance = 1e4; ///< Bounds the growth while the features do not vary.
-    double m_outlierDeviations = 4; ///< Errors count up to this many mean deviations.
-    uint64_t m_trustAfter = 8; ///< Samples before outliers are bounded.
+    double m_forgetting = 0.99; ///< Factor on the weight of all older samples at each new one.
+    double m_maxCovariance = 1e4; ///< No forgetting above this, so that the covariance stays finite
+                                  ///< while the features do not vary.
+    double m_outlierDeviations = 4; ///< Errors are clamped to this many mean deviations.
+    uint64_t m_trustAfter = 8; ///< Number of samples after which errors are clamped.
 };
 
 template<size_t N>
 using Features = std::array<double, N>;
 
-/// A model with given weights and uncertainty: the larger, the faster samples replace the weights.
+/// A model with the given weights. The larger @p covariance, the faster samples replace the
+/// weights.
 template<size_t N>
 LeastSquares<N> leastSquaresPrior(const std::array<double, N> &weights, double covariance)
 {
@@ -39,7 +41,7 @@
     return model;
 }
 
-/// The predicted value. Negative weights count as zero, as more work never takes less time.
+/// The predicted value. Negative weights count as zero, because more work never takes less time.
 template<size_t N>
 double predict(const LeastSquares<N> &model, const Features<N> &features)
 {
@@ -51,6 +53,7 @@
 
 namespace detail {
 
+/// Clamps @p error if it is an outlier, updates the mean deviation, and returns the clamped error.
 template<size_t N>
 double boundedError(LeastSquares<N> &model, double error, const LeastSquaresSettings &settings)
 {
@@ -63,6 +66,7 @@
     return bounded;
 }
 
+/// Whether all variances (the diagonal of the covariance) are at most @p limit.
 template<size_t N>
 bool covarianceWithin(const LeastSquares<N> &model, double limit)
 {
@@ -75,7 +79,7 @@
 
 } // namespace detail
 
-/// Fits the model to one sample. A value that is not finite is ignored.
+/// Updates the model by one sample. Ignores a value that is not finite.
 template<size_t N>
 void observe(LeastSquares<N> &model, const Features<N> &features, double value,
              const LeastSquaresSettings &settings = {})
--- a/tests/policy/cost_model_test.cpp
+++ b/tests/policy/cost_model_test.cpp
@@ -5,7 +5,7 @@
 namespace stackquay {
 namespace {
 
-/// The engine that the tests make up: 1 ms, 40 us a token, attention and batch on top.
+/// Prefill time of the simulated engine: 1 ms, 40 us per token, and terms for attention and batch.
 Duration truePrefill(const PrefillWork &work, double speed = 1)
 {
     const auto tokens = static_cast<double>(work.m_uncachedTokens);
@@ -53,7 +53,7 @@
     }
 }
 
-TEST(CostModelTest, FollowsAnEngineThatBecomesSlower)
+TEST(CostModelTest, AdaptsToAnEngineThatBecomesSlower)
 {
     RandomEngine random(1);
     auto model = coldStartCostModel("v1");
@@ -73,7 +73,7 @@
     EXPECT_LT(relativeError(model, work), 0.25);
 }
 
-TEST(CostModelTest, ColdStartTakesSiblingsOfTheSameVersionOnly)
+TEST(CostModelTest, ColdStartUsesOnlySiblingsOfTheSameVersion)
 {
     RandomEngine random(1);
     auto sibling = coldStartCostModel("v1");
@@ -81,12 +81,12 @@
     const std::vector<CostModel> siblings = { sibling };
     const PrefillWork work{ 4'000, 0, 4 };
     EXPECT_LT(relativeError(coldStartCostModel("v1", siblings), work), 0.15);
-    const auto stranger = coldStartCostModel("v2", siblings);
-    EXPECT_EQ(predictPrefill(stranger, work), predictPrefill(coldStartCostModel("v2"), work));
-    EXPECT_EQ(stranger.m_prefill.m_samples, 0u);
+    const auto otherVersion = coldStartCostModel("v2", siblings);
+    EXPECT_EQ(predictPrefill(otherVersion, work), predictPrefill(coldStartCostModel("v2"), work));
+    EXPECT_EQ(otherVersion.m_prefill.m_samples, 0u);
 }
 
-TEST(CostModelTest, AnotherVersionStartsAgain)
+TEST(CostModelTest, NewVersionResetsTheModel)
 {
     RandomEngine random(1);
     auto model = coldStartCostModel("v1");
@@ -97,7 +97,7 @@
     EXPECT_EQ(model.m_prefill.m_samples, 0u);
 }
 
-TEST(CostModelTest, SameWorkForeverStaysFinite)
+TEST(CostModelTest, ConstantWorkKeepsTheModelFinite)
 {
     auto model = coldStartCostModel("v1");
     const PrefillWork work{ 1'000, 0, 4 };
@@ -111,7 +111,7 @@
     }
 }
 
-TEST(CostModelTest, LearnsDecodeStepsAndAddsTheQueue)
+TEST(CostModelTest, LearnsDecodeStepsAndTtftIncludesTheQueue)
 {
     auto model = coldStartCostModel("v1");
     for (uint32_t i = 0; i < 300; ++i)
