--- a/policy/long_set.cpp
+++ b/policy/long_set.cpp
@@ -12,8 +12,8 @@
 
 double decayed(const LongSet &set, TimePoint now, const LongSetSettings &settings)
 {
-    const FloatSeconds passed = std::max(Duration::zero(), now - set.m_workAt);
-    return set.m_work * std::exp(-(passed / FloatSeconds(settings.m_window)));
+    const FloatSeconds passed = std::max(Duration::zero(), now - set.m_recentWorkAt);
+    return set.m_recentWork * std::exp(-(passed / FloatSeconds(settings.m_window)));
 }
 
 uint32_t enginesFor(double demand, double share)
@@ -26,14 +26,14 @@
 void noteLongDemand(LongSet &set, Duration predicted, TimePoint now,
                     const LongSetSettings &settings)
 {
-    set.m_work = decayed(set, now, settings) + FloatSeconds(predicted).count();
-    set.m_workAt = std::max(set.m_workAt, now);
+    set.m_recentWork = decayed(set, now, settings) + FloatSeconds(predicted).count();
+    set.m_recentWorkAt = std::max(set.m_recentWorkAt, now);
 }
 
 double longDemand(const LongSet &set, TimePoint now, const LongSetSettings &settings)
 {
     return decayed(set, now, settings) / FloatSeconds(settings.m_window).count()
-           + std::max(0.0, set.m_waiting) / FloatSeconds(settings.m_drain).count();
+           + std::max(0.0, set.m_waiting) / FloatSeconds(settings.m_backlogDrainTime).count();
 }
 
 uint32_t resizeLongSet(LongSet &set, uint32_t engines, TimePoint now,
@@ -42,20 +42,20 @@
     const auto most = std::max(1u, static_cast<uint32_t>(engines * settings.m_maxShare));
     if (set.m_size == 0) {
         set.m_size = std::max(1u, static_cast<uint32_t>(engines * settings.m_startShare));
-        set.m_changed = now;
+        set.m_changedAt = now;
     }
     const double demand = longDemand(set, now, settings);
     const uint32_t needed = std::clamp(enginesFor(demand, settings.m_targetShare), 1u, most);
     if (needed > set.m_size || set.m_size > most) {
         set.m_size = std::max(needed, std::min(set.m_size, most));
-        set.m_changed = now;
+        set.m_changedAt = now;
         return set.m_size;
     }
     const uint32_t relaxed =
         std::max(1u, enginesFor(demand, settings.m_targetShare * settings.m_shrinkBelow));
-    if (relaxed < set.m_size && now - set.m_changed >= settings.m_shrinkAfter) {
+    if (relaxed < set.m_size && now - set.m_changedAt >= settings.m_shrinkAfter) {
         --set.m_size;
-        set.m_changed = now;
+        set.m_changedAt = now;
     }
     return set.m_size;
 }
--- a/policy/long_set.h
+++ b/policy/long_set.h
@@ -1,5 +1,5 @@
-/// The engines that accept long prompts: as many as the demand needs, so that the others stay free
-/// for short ones.
+/// Sizes and selects the set of engines that accept long prompts. It has as many engines as the
+/// demand needs, and the other engines stay free for short prompts.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,38 @@
 namespace stackquay {
 
 struct LongSetSettings {
-    Millis m_window{ 60'000 }; ///< Over which the demand is averaged.
-    /// Share of an engine's time that long prefills may take before another engine is added.
+    Millis m_window{ 60'000 }; ///< Time constant of the average demand.
+    /// Fraction of the set's engine time that long prefills may take before an engine is added.
     double m_targetShare = 0.6;
-    Millis m_drain{ 5'000 }; ///< Within which the long prefills that wait should be begun.
-    /// An engine is taken out only if the rest would stay below this part of the target...
+    Millis m_backlogDrainTime{ 5'000 }; ///< Time within which waiting long prefills should start.
+    /// An engine is removed only if the remaining ones stay below this fraction of m_targetShare...
     double m_shrinkBelow = 0.7;
-    Millis m_shrinkAfter{ 30'000 }; ///< ... and this long after the last change.
-    double m_startShare = 0.25; ///< Of the engines, before any demand is known.
-    double m_maxShare = 0.75; ///< Of the engines; at least one engine takes long prompts.
+    Millis m_shrinkAfter{ 30'000 }; ///< ... and this time after the last change.
+    double m_startShare = 0.25; ///< Fraction of all engines, before any demand is known.
+    double m_maxShare = 0.75; ///< Fraction of all engines; the set has at least one.
 };
 
+/// State of the set.
 struct LongSet {
-    double m_work = 0; ///< Seconds of long prefill, decaying over the window.
-    TimePoint m_workAt;
-    double m_waiting = 0; ///< Seconds of long prefill that wait for an engine.
+    double m_recentWork = 0; ///< Seconds of long prefill, decaying exponentially.
+    TimePoint m_recentWorkAt; ///< Time to which m_recentWork has decayed.
+    double m_waiting = 0; ///< Seconds of long prefill that wait for an engine; set by the caller.
     uint32_t m_size = 0; ///< 0: not sized yet.
-    TimePoint m_changed;
+    TimePoint m_changedAt; ///< Last change of the size.
 };
 
-/// Notes that a long prefill of @p predicted time was asked for.
+/// Adds a requested long prefill of @p predicted duration to the demand.
 void noteLongDemand(LongSet &set, Duration predicted, TimePoint now,
                     const LongSetSettings &settings = {});
-/// Number of engines that long prefills need: those that come, and those that wait.
+/// Number of fully used engines that the long prefills need, both the arriving and the waiting
+/// ones.
 double longDemand(const LongSet &set, TimePoint now, const LongSetSettings &settings = {});
-/// Sizes the set for @p engines usable engines: grows at once, shrinks one at a time and late.
-/// Returns the size.
+/// Adapts the size to the demand for @p engines usable engines and returns it. The set grows at
+/// once and shrinks after a delay, by one engine at a time.
 uint32_t resizeLongSet(LongSet &set, uint32_t engines, TimePoint now,
                        const LongSetSettings &settings = {});
-/// Which of @p engines belong to a set of @p size: the first by a hash of their ids, so that a
-/// change of the size or of the engines moves few.
+/// One flag for each of @p engines: whether it belongs to a set of @p size. Engines are ranked by a
+/// hash of their ids, so that a change of the size or of the engines moves few.
 std::vector<bool> longSetMembers(std::span<const EndpointId> engines, uint32_t size);
 
 } // namespace stackquay
--- a/tests/policy/long_set_test.cpp
+++ b/tests/policy/long_set_test.cpp
@@ -7,7 +7,7 @@
 
 const TimePoint Start = TimePoint{} + Seconds(10'000);
 
-TEST(LongSetTest, GrowsAtOnceAndShrinksLate)
+TEST(LongSetTest, GrowsAtOnceAndShrinksAfterADelay)
 {
     LongSet set;
     EXPECT_EQ(resizeLongSet(set, 20, Start), 5u);
@@ -18,7 +18,7 @@
         resizeLongSet(set, 20, now);
     }
     EXPECT_NEAR(longDemand(set, now), 6, 0.1);
-    EXPECT_EQ(set.m_size, 11u); // 6 / 0.6, rounded up from a little above.
+    EXPECT_EQ(set.m_size, 11u); // 6 / 0.6, rounded up, as the measured demand is slightly higher.
     now += Seconds(20);
     EXPECT_EQ(resizeLongSet(set, 20, now), 11u);
     now += Seconds(600);
@@ -26,7 +26,7 @@
     EXPECT_EQ(resizeLongSet(set, 20, now), 10u);
 }
 
-TEST(LongSetTest, SteadyDemandDoesNotMakeItFlap)
+TEST(LongSetTest, SizeIsStableUnderSteadyDemand)
 {
     RandomEngine random(1);
     LongSet set;
@@ -44,7 +44,7 @@
     EXPECT_LE(last, 9u);
 }
 
-TEST(LongSetTest, LeavesEnginesToShortOnesButNeverNone)
+TEST(LongSetTest, HasAtLeastOneEngineAndLeavesSomeToShortPrompts)
 {
     LongSet set;
     noteLongDemand(set, Seconds(100'000), Start);
@@ -53,7 +53,7 @@
     EXPECT_EQ(resizeLongSet(set, 0, Start), 1u);
 }
 
-TEST(LongSetTest, AnotherSizeMovesOneEngine)
+TEST(LongSetTest, ChangeOfSizeByOneMovesOneEngine)
 {
     std::vector<EndpointId> engines;
     for (int i = 0; i < 20; ++i)
@@ -66,7 +66,7 @@
     EXPECT_EQ(moved, 1);
 }
 
-TEST(ChunkingTest, ChunkKeepsTheBoundAndShrinksWithContext)
+TEST(ChunkingTest, ChunkStaysWithinTheTimeAndShrinksWithContext)
 {
     auto cost = coldStartCostModel("v1");
     for (int i = 0; i < 300; ++i) {
