--- a/policy/overflow.cpp
+++ b/policy/overflow.cpp
@@ -16,14 +16,14 @@
         std::chrono::duration<double, Duration::period>(duration) * factor);
 }
 
-Duration timeThere(const OverflowCandidate &candidate, const OverflowQuestion &question)
+Duration remoteTime(const OverflowCandidate &candidate, const OverflowQuery &query)
 {
-    return 2 * candidate.m_oneWayDelay + fromWaitLevel(candidate.m_wait) + question.m_run;
+    return 2 * candidate.m_oneWayDelay + fromWaitLevel(candidate.m_wait) + query.m_runTime;
 }
 
 bool usable(const OverflowSettings &settings, const OverflowCandidate &candidate)
 {
-    return candidate.m_reachable && candidate.m_age <= settings.m_longestAge
+    return candidate.m_reachable && candidate.m_age <= settings.m_maxReportAge
            && candidate.m_wait != NoCapacityLevel;
 }
 
@@ -71,38 +71,37 @@
         state.m_fraction = 0;
         return;
     }
-    if (now - state.m_lastStep < settings.m_stepEvery)
+    if (now - state.m_lastStep < settings.m_stepInterval)
         return;
     const bool falling = ownWait < state.m_lastWait;
     state.m_lastStep = now;
     state.m_lastWait = ownWait;
-    if (ownWait > settings.m_begin && !falling)
-        state.m_fraction = std::min(state.m_fraction + settings.m_growth, 1.0);
-    else if (ownWait < settings.m_end)
-        state.m_fraction = std::max(state.m_fraction - settings.m_shrink, 0.0);
+    if (ownWait > settings.m_growAboveWait && !falling)
+        state.m_fraction = std::min(state.m_fraction + settings.m_growthStep, 1.0);
+    else if (ownWait < settings.m_shrinkBelowWait)
+        state.m_fraction = std::max(state.m_fraction - settings.m_shrinkStep, 0.0);
 }
 
 std::optional<DataCentreId> chooseOverflow(const OverflowSettings &settings,
-                                           const OverflowState &state,
-                                           const OverflowQuestion &question,
+                                           const OverflowState &state, const OverflowQuery &query,
                                            const std::vector<OverflowCandidate> &candidates,
                                            TimePoint now, RandomEngine &random)
 {
-    if (question.m_cameFromElsewhere)
+    if (query.m_forwarded)
         return std::nullopt;
-    const Duration left = question.m_deadline - now;
-    const Duration own = question.m_ownWait + question.m_run;
-    const bool ownIsLate = scaled(own, settings.m_safety) > left;
+    const Duration left = query.m_deadline - now;
+    const Duration own = query.m_ownWait + query.m_runTime;
+    const bool ownIsLate = scaled(own, settings.m_predictionFactor) > left;
     std::uniform_real_distribution<double> uniform(0, 1);
     if (!ownIsLate && uniform(random) >= state.m_fraction)
         return std::nullopt;
 
     const OverflowCandidate *best = nullptr;
     for (const OverflowCandidate &candidate : candidates) {
-        const Duration there = timeThere(candidate, question);
-        const bool meetsDeadline = scaled(there, settings.m_safety) <= left;
-        const bool hasRoom = fromWaitLevel(candidate.m_wait) <= settings.m_room;
-        const bool faster = there <= scaled(own, settings.m_advantage);
+        const Duration there = remoteTime(candidate, query);
+        const bool meetsDeadline = scaled(there, settings.m_predictionFactor) <= left;
+        const bool hasRoom = fromWaitLevel(candidate.m_wait) <= settings.m_maxRemoteWait;
+        const bool faster = there <= scaled(own, settings.m_maxRemoteTimeShare);
         const bool helps = ownIsLate || (hasRoom && faster);
         if (!usable(settings, candidate) || !meetsDeadline || !helps)
             continue;
