--- a/policy/span_plan.cpp
+++ b/policy/span_plan.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Engines with the most memory of one kind first, and by id among equals.
+/// Sorts engines by @p memory in descending order, and by id among equals.
 std::vector<SpanEngine> sortedBy(std::vector<SpanEngine> engines, uint64_t SpanEngine::*memory)
 {
     std::sort(engines.begin(), engines.end(), [memory](const auto &a, const auto &b) {
@@ -28,8 +28,8 @@
     return sum;
 }
 
-/// Splits the prompt over chosen engines, which have room for all, in the order
-/// of their ids. The answer's room is kept back on the last.
+/// Distributes the prompt over the chosen engines in the order of their ids. The memory of the
+/// answer is added to the last segment, so that this one may not fit.
 std::vector<SpanSegment> split(const SpanNeed &need, std::vector<SpanEngine> chosen)
 {
     std::sort(chosen.begin(), chosen.end(),
@@ -47,7 +47,7 @@
     return segments;
 }
 
-bool splitFits(const std::vector<SpanSegment> &segments, const std::vector<SpanEngine> &chosen)
+bool segmentsFit(const std::vector<SpanSegment> &segments, const std::vector<SpanEngine> &chosen)
 {
     return std::all_of(segments.begin(), segments.end(), [&](const SpanSegment &segment) {
         return std::any_of(chosen.begin(), chosen.end(), [&](const SpanEngine &engine) {
@@ -104,7 +104,7 @@
     for (SpanMember &member : span.m_members) {
         if (member.m_state != SpanMemberState::Held)
             continue;
-        member.m_used = true;
+        member.m_fillStarted = true;
         return { { SpanActionKind::Fill, member.m_segment.m_endpoint, member.m_handle,
                    member.m_segment.m_promptTokens } };
     }
@@ -118,7 +118,7 @@
     for (SpanMember &member : span.m_members) {
         if (member.m_state != SpanMemberState::Untouched)
             continue;
-        member.m_state = SpanMemberState::Asked;
+        member.m_state = SpanMemberState::Requested;
         member.m_sent = now;
         member.m_expiry = now + span.m_settings.m_reservationTtl;
         return { { SpanActionKind::Reserve,
@@ -132,14 +132,13 @@
 std::vector<SpanAction> onReserved(Span &span, SpanMember &member, const SpanEvent &event,
                                    TimePoint now)
 {
-    // It may come late, when the span is given up already; then it is released by
-    // its handle.
+    // The span may have ended before the reservation was confirmed.
     if (span.m_state == SpanState::Releasing || span.m_state == SpanState::Ended) {
         span.m_state = SpanState::Releasing;
         member.m_handle = event.m_handle;
         return { release(member, now) };
     }
-    if (member.m_state != SpanMemberState::Asked)
+    if (member.m_state != SpanMemberState::Requested)
         return {};
     member.m_state = SpanMemberState::Held;
     member.m_handle = event.m_handle;
@@ -154,24 +153,25 @@
     return fillNext(span);
 }
 
-std::vector<SpanAction> onGone(Span &span, SpanMember &member, SpanResult result, TimePoint now)
+std::vector<SpanAction> onMemberGone(Span &span, SpanMember &member, SpanResult result,
+                                     TimePoint now)
 {
     if (member.m_state == SpanMemberState::Gone)
         return {};
-    const bool mattered = span.m_state != SpanState::Releasing;
+    const bool wasActive = span.m_state != SpanState::Releasing;
     member.m_state = SpanMemberState::Gone;
-    if (mattered)
+    if (wasActive)
         return finish(span, result, now);
     endIfNothingIsHeld(span);
     return {};
 }
 
-/// A refusal that is late tells nothing about a release that was sent after it.
+/// Ignores late refusals, which do not confirm a release that was sent after the reservation.
 std::vector<SpanAction> onRefused(Span &span, SpanMember &member, TimePoint now)
 {
-    if (member.m_state != SpanMemberState::Asked)
+    if (member.m_state != SpanMemberState::Requested)
         return {};
-    return onGone(span, member, SpanResult::NoMemory, now);
+    return onMemberGone(span, member, SpanResult::NoMemory, now);
 }
 
 std::vector<SpanAction> repeatReleases(Span &span, TimePoint now)
@@ -180,7 +180,7 @@
     for (SpanMember &member : span.m_members) {
         if (member.m_state != SpanMemberState::Releasing)
             continue;
-        if (!member.m_used && now >= member.m_expiry + span.m_settings.m_clockMargin)
+        if (!member.m_fillStarted && now >= member.m_expiry + span.m_settings.m_clockMargin)
             member.m_state = SpanMemberState::Gone;
         else if (now >= member.m_sent + span.m_settings.m_answerTimeout)
             actions.push_back(release(member, now));
@@ -189,11 +189,12 @@
     return actions;
 }
 
-bool ranOut(const Span &span, const SpanMember &member, TimePoint now)
+bool hasTimedOut(const Span &span, const SpanMember &member, TimePoint now)
 {
-    if (member.m_state == SpanMemberState::Asked)
+    if (member.m_state == SpanMemberState::Requested)
         return now >= member.m_sent + span.m_settings.m_answerTimeout;
-    return member.m_state == SpanMemberState::Held && !member.m_used && now >= member.m_expiry;
+    return member.m_state == SpanMemberState::Held && !member.m_fillStarted
+           && now >= member.m_expiry;
 }
 
 std::vector<SpanAction> onTick(Span &span, TimePoint now)
@@ -202,7 +203,7 @@
         return repeatReleases(span, now);
     const bool expired =
         std::any_of(span.m_members.begin(), span.m_members.end(),
-                    [&](const SpanMember &member) { return ranOut(span, member, now); });
+                    [&](const SpanMember &member) { return hasTimedOut(span, member, now); });
     if (expired)
         return finish(span, SpanResult::Expired, now);
     return {};
@@ -223,9 +224,9 @@
     case SpanEventKind::Released:
         if (member->m_state != SpanMemberState::Releasing)
             return {};
-        return onGone(span, *member, SpanResult::Cancelled, now);
+        return onMemberGone(span, *member, SpanResult::Cancelled, now);
     case SpanEventKind::MemberDied:
-        return onGone(span, *member, SpanResult::MemberLost, now);
+        return onMemberGone(span, *member, SpanResult::MemberLost, now);
     default:
         return {};
     }
@@ -252,7 +253,7 @@
         const std::vector<SpanEngine> chosen(byFree.begin(),
                                              byFree.begin() + static_cast<std::ptrdiff_t>(count));
         std::vector<SpanSegment> segments = split(need, chosen);
-        if (splitFits(segments, chosen))
+        if (segmentsFit(segments, chosen))
             return segments;
     }
     return tl::unexpected(
@@ -304,7 +305,7 @@
 {
     std::optional<TimePoint> next;
     for (const SpanMember &member : span.m_members) {
-        const bool answerDue = member.m_state == SpanMemberState::Asked
+        const bool answerDue = member.m_state == SpanMemberState::Requested
                                || member.m_state == SpanMemberState::Releasing;
         TimePoint due = member.m_expiry;
         if (answerDue)
--- a/policy/span_plan.h
+++ b/policy/span_plan.h
@@ -1,11 +1,11 @@
-/// Spans: one prompt on several engines of a data centre, all or nothing.
+/// Spans: one prompt whose KV cache is distributed over several engines of a data centre.
 ///
-/// Members are reserved one after the other in the order of their ids. An
-/// engine that has no memory refuses at once, so a span never waits while it
-/// holds memory, and of two spans that meet on their first common engine one
-/// goes on. Whatever fails, every member that holds or may hold memory is
-/// released, again and again until its engine confirms it, has died, or must
-/// have dropped the reservation by itself.
+/// A span reserves memory on all its engines or fails. It reserves them one after the other in the
+/// order of their ids. An engine without memory refuses at once, so a span never waits while it
+/// holds memory, and of two spans that compete for their first common engine one proceeds. After
+/// any failure, every member that holds or may hold memory is released. The release is repeated
+/// until the engine confirms it, has died, or must have dropped the reservation by its time to
+/// live.
 #pragma once
 
 #include <optional>
@@ -16,75 +16,77 @@
 
 namespace stackquay {
 
-/// What is known of one engine; a hint, as the engine itself decides.
+/// Known memory of one engine. Only a hint, as the engine itself accepts or refuses a reservation.
 struct SpanEngine {
     EndpointId m_endpoint;
-    uint64_t m_totalTokens = 0; ///< Of KV cache memory.
+    uint64_t m_totalTokens = 0; ///< KV cache memory.
     uint64_t m_freeTokens = 0;
 };
 
+/// Requirements of one request.
 struct SpanNeed {
     uint64_t m_promptTokens = 0;
-    uint64_t m_answerTokens = 0; ///< Longest answer; kept on the last member.
-    uint32_t m_maxSpan = 1; ///< Most members that the model permits.
+    uint64_t m_answerTokens = 0; ///< Longest answer; its memory is on the last member.
+    uint32_t m_maxSpan = 1; ///< Maximum number of members that the model permits.
 };
 
-/// A contiguous part of the prompt, and the engine that keeps it.
+/// A contiguous part of the prompt and the engine that stores it.
 struct SpanSegment {
     EndpointId m_endpoint;
     uint64_t m_firstToken = 0;
     uint64_t m_promptTokens = 0;
-    uint64_t m_reservedTokens = 0; ///< The prompt's part, and on the last member the answer.
+    uint64_t m_reservedTokens = 0; ///< m_promptTokens, plus the answer on the last member.
 };
 
-/// Chooses the fewest engines with enough free memory, those with the most
-/// first; the segments are in the order of the engines' ids. Refused:
-/// PromptTooLong if no permitted span of these engines can ever hold it, naming
-/// the limit; NoCapacity if only not now.
+/// Chooses the smallest number of engines with enough free memory, preferring those with the most.
+/// Returns the segments in the order of the engine ids. Errors: PromptTooLong with the limit in the
+/// message if no permitted span of these engines can ever hold the request; NoCapacity if it does
+/// not fit at the moment.
 tl::expected<std::vector<SpanSegment>, Refusal> planSpan(const SpanNeed &need,
                                                          const std::vector<SpanEngine> &engines);
 
 struct SpanSettings {
-    /// Has to cover the filling of all segments; the engine drops an unused
-    /// reservation after it.
+    /// The engine drops a reservation that is unused for this time. It has to exceed the time that
+    /// filling all segments takes.
     Duration m_reservationTtl = Seconds(60);
-    Duration m_answerTimeout = Seconds(5); ///< For a reservation's or a release's answer.
-    Duration m_clockMargin = Seconds(2); ///< Beyond the ttl until a reservation is surely gone.
+    Duration m_answerTimeout = Seconds(5); ///< Timeout of a reservation or release.
+    Duration m_clockMargin = Seconds(2); ///< Added to the TTL to tolerate clock differences.
 };
 
+/// State of one member, as known to the span.
 enum class SpanMemberState {
     Untouched, ///< Nothing was sent.
-    Asked, ///< May hold memory.
-    Held,
+    Requested, ///< Reservation sent; may hold memory.
+    Held, ///< Reserved, but not filled yet.
     Filled, ///< Holds its segment of the prompt.
-    Releasing, ///< May hold memory; its release is not confirmed.
-    Gone, ///< Holds nothing.
+    Releasing, ///< May hold memory; the release is not confirmed.
+    Gone, ///< Holds no memory any more.
 };
 
+/// One engine of a span.
 struct SpanMember {
     SpanSegment m_segment;
     SpanMemberState m_state = SpanMemberState::Untouched;
-    std::string m_handle; ///< Empty: not known; release whatever the attempt holds there.
-    TimePoint m_sent{}; ///< Of the last reservation or release.
-    TimePoint m_expiry{}; ///< The engine may drop the reservation from then on.
-    bool m_used = false; ///< Filling began, so that the reservation no longer
-                         ///< ends by itself.
+    std::string m_handle; ///< Of the reservation; empty: not known.
+    TimePoint m_sent{}; ///< Time of the last reservation or release.
+    TimePoint m_expiry{}; ///< From then on the engine may drop the unused reservation.
+    bool m_fillStarted = false; ///< The reservation is in use and no longer expires.
 };
 
 enum class SpanState {
     Reserving,
     Filling, ///< Segments are computed, exported and imported, in order.
-    Running,
-    Releasing,
+    Running, ///< The last member decodes the answer.
+    Releasing, ///< The result is final, but releases are not confirmed.
     Ended,
 };
 
 enum class SpanResult {
     Pending,
     Complete,
-    NoMemory, ///< A member refused.
+    NoMemory, ///< A member refused the reservation.
     MemberLost, ///< A member died, or a transfer failed.
-    Expired, ///< A reservation ran out, or an answer did not come.
+    Expired, ///< A reservation expired, or an engine did not reply.
     Cancelled,
 };
 
@@ -92,58 +94,58 @@
 struct Span {
     SpanSettings m_settings;
     AttemptId m_attempt;
-    std::vector<SpanMember> m_members; ///< By engine id.
+    std::vector<SpanMember> m_members; ///< In the order of the engine ids.
     SpanState m_state = SpanState::Reserving;
     SpanResult m_result = SpanResult::Pending;
 };
 
 enum class SpanEventKind {
-    Start,
-    Reserved, ///< With a handle.
-    Refused, ///< The engine says that it reserved nothing.
-    Filled, ///< Export and import of the member's segment are done.
+    Start, ///< The first event of a span.
+    Reserved, ///< The engine has reserved the memory; with a handle.
+    Refused, ///< The engine has reserved nothing.
+    Filled, ///< The member's segment is exported and imported.
     FillFailed,
-    RunComplete, ///< The whole answer came.
+    RunComplete, ///< The answer is complete.
     RunFailed,
-    MemberDied, ///< Its memory is gone with it.
+    MemberDied, ///< The engine died, and its memory is lost.
     Cancel,
-    Released, ///< A listing of the engine no longer shows anything of the
-              ///< attempt.
-    Tick, ///< Time passed.
+    Released, ///< The engine lists no memory of the attempt any more.
+    Tick, ///< The time of nextSpanTick() has come.
 };
 
+/// An input of a span.
 struct SpanEvent {
     SpanEventKind m_kind = SpanEventKind::Tick;
     EndpointId m_endpoint; ///< Empty for events of the whole span.
-    std::string m_handle;
+    std::string m_handle; ///< For Reserved.
 };
 
 enum class SpanActionKind {
-    Reserve,
-    Fill,
-    Run,
-    Release, ///< By handle, or all that the attempt holds there if the handle is
-             ///< empty.
-    Report, ///< The result is final: tell the caller now; releases may still go
-            ///< on.
+    Reserve, ///< Reserve m_tokens.
+    Fill, ///< Fill the member's segment with m_tokens of the prompt.
+    Run, ///< Decode the answer.
+    Release, ///< Release m_handle, or if it is empty, all that the attempt holds there.
+    Report, ///< Report the final result to the caller. Releases may follow later.
 };
 
+/// What the owner of a span has to do.
 struct SpanAction {
     SpanActionKind m_kind = SpanActionKind::Report;
-    EndpointId m_endpoint;
+    EndpointId m_endpoint; ///< Empty for Report.
     std::string m_handle;
     uint64_t m_tokens = 0;
 };
 
+/// A span that has not started yet; SpanEventKind::Start starts it.
 Span makeSpan(const SpanSettings &settings, const AttemptId &attempt,
               const std::vector<SpanSegment> &segments);
 
-/// Takes an event; returns what to do. Events that no longer matter are
-/// ignored, but a reservation that comes after the end is released, which opens
-/// the span again.
+/// Processes an event and returns the actions that follow from it. Ignores outdated events, except
+/// a Reserved event after the end of the span: that reservation is released, and the state returns
+/// to Releasing.
 std::vector<SpanAction> onSpanEvent(Span &span, const SpanEvent &event, TimePoint now);
 
-/// When the next Tick is needed; no value once it has ended.
+/// Time at which the next Tick event is needed; no value if no timeout is pending.
 std::optional<TimePoint> nextSpanTick(const Span &span);
 
 } // namespace stackquay
--- a/tests/policy/span_plan_test.cpp
+++ b/tests/policy/span_plan_test.cpp
@@ -15,7 +15,7 @@
     return result;
 }
 
-TEST(SpanPlan, FewestEnginesInIdOrder)
+TEST(SpanPlan, UsesTheFewestEnginesInIdOrder)
 {
     const auto plan =
         planSpan({ 900'000, 1'000, 4 }, engines({ 400'000, 100'000, 390'000, 380'000 }, 400'000));
@@ -32,7 +32,7 @@
     EXPECT_EQ(plan->back().m_reservedTokens, plan->back().m_promptTokens + 1'000);
 }
 
-TEST(SpanPlan, RefusalsNameTheLimit)
+TEST(SpanPlan, RefusalMessagesContainTheLimit)
 {
     const auto tooLong = planSpan({ 900'000, 0, 2 }, engines({ 1, 1, 1 }, 400'000));
     ASSERT_FALSE(tooLong);
@@ -74,8 +74,8 @@
     EXPECT_GT(planned, 500);
 }
 
-/// Engines with finite memory, and spans whose messages are lost, late and out
-/// of order.
+/// Simulates engines with finite memory. With faults, messages are lost, duplicated, delayed and
+/// reordered, and engines die.
 class SpanSim
 {
 public:
@@ -126,7 +126,7 @@
 
     bool chance(unsigned percent) { return m_faults && m_random() % 100 < percent; }
 
-    void later(std::function<void()> message)
+    void send(std::function<void()> message)
     {
         if (chance(15))
             return;
@@ -155,21 +155,21 @@
     void handle(size_t index, const SpanEvent &event)
     {
         for (const SpanAction &action : onSpanEvent(m_spans[index], event, m_now))
-            act(index, action);
+            perform(index, action);
     }
 
     void reply(size_t index, SpanEventKind kind, const EndpointId &engine, const std::string &name)
     {
-        later([this, index, kind, engine, name] { handle(index, { kind, engine, name }); });
+        send([this, index, kind, engine, name] { handle(index, { kind, engine, name }); });
     }
 
-    void act(size_t index, const SpanAction &action)
+    void perform(size_t index, const SpanAction &action)
     {
         if (action.m_kind == SpanActionKind::Report) {
             m_reports[index] += 1;
             return;
         }
-        later([this, index, action] { onEngine(index, action); });
+        send([this, index, action] { onEngine(index, action); });
     }
 
     void onEngine(size_t index, const SpanAction &action)
@@ -234,7 +234,7 @@
     int m_lastHandle = 0;
 };
 
-std::vector<SpanSegment> wholePool()
+std::vector<SpanSegment> segmentsOnAllEngines()
 {
     std::vector<SpanSegment> segments;
     for (size_t i = 0; i < SpanSim::EngineCount; ++i)
@@ -245,7 +245,7 @@
 TEST(Span, CompletesAndLeavesNoHandle)
 {
     SpanSim sim(1, false);
-    sim.start(0, wholePool());
+    sim.start(0, segmentsOnAllEngines());
     sim.run(Seconds(30));
     EXPECT_EQ(sim.span(0).m_result, SpanResult::Complete);
     EXPECT_EQ(sim.span(0).m_state, SpanState::Ended);
@@ -253,12 +253,12 @@
     EXPECT_EQ(sim.reports(0), 1);
 }
 
-TEST(Span, OfTwoThatNeedAllOneGoesOn)
+TEST(Span, OneOfTwoCompetingSpansCompletes)
 {
     for (uint64_t seed = 0; seed < 200; ++seed) {
         SpanSim sim(seed, false);
-        sim.start(0, wholePool());
-        sim.start(1, wholePool());
+        sim.start(0, segmentsOnAllEngines());
+        sim.start(1, segmentsOnAllEngines());
         sim.run(Seconds(30));
         int complete = 0;
         for (size_t i = 0; i < 2; ++i) {
@@ -270,13 +270,13 @@
     }
 }
 
-TEST(Span, NoHandleIsLeftWhateverFails)
+TEST(Span, NoHandleIsLeftAfterAnyFailure)
 {
     std::map<SpanResult, int> results;
     for (uint64_t seed = 0; seed < 2'000; ++seed) {
         SpanSim sim(seed, true);
         for (size_t i = 0; i < 3; ++i)
-            sim.start(i, wholePool());
+            sim.start(i, segmentsOnAllEngines());
         sim.run(Seconds(240));
         for (size_t i = 0; i < 3; ++i) {
             ASSERT_EQ(sim.span(i).m_state, SpanState::Ended) << "seed " << seed;
@@ -291,9 +291,9 @@
     EXPECT_GT(results[SpanResult::MemberLost], 0);
 }
 
-TEST(Span, ReportsAtOnceThoughReleasesGoOn)
+TEST(Span, ReportsBeforeReleasesAreConfirmed)
 {
-    Span span = makeSpan({}, AttemptId("a"), wholePool());
+    Span span = makeSpan({}, AttemptId("a"), segmentsOnAllEngines());
     const TimePoint now{ Seconds(1'000) };
     onSpanEvent(span, { SpanEventKind::Start, {}, {} }, now);
     onSpanEvent(span, { SpanEventKind::Reserved, EndpointId("e0"), "h" }, now);
