--- a/tests/policy/overload_test.cpp
+++ b/tests/policy/overload_test.cpp
@@ -1,5 +1,5 @@
-/// Overload of the pure queue and admission in virtual time: one steward, one
-/// pool of slots, callers that ask again as told. Prints its figures;
+/// Simulates overload of the fair queue and the admission in virtual time: one steward, one pool of
+/// slots, and callers that retry after the given delay. Prints its measurements; run it alone by
 /// `test_policy --gtest_filter='Overload.*'`.
 #include <algorithm>
 #include <array>
@@ -14,19 +14,19 @@
 namespace stackquay {
 namespace {
 
-constexpr double Capacity = 100'000; ///< Tokens a second of the whole pool.
+constexpr double Capacity = 100'000; ///< Tokens per second of the whole pool.
 constexpr size_t Slots = 4;
-constexpr double LongCost = 10'000; ///< From here on a request counts as long.
+constexpr double LongCost = 10'000; ///< Requests of at least this cost count as long.
 const TimePoint Start{ Seconds(10'000) };
 
 struct Caller {
     const char *m_name;
-    double m_load; ///< Part of the offered load.
+    double m_load; ///< Fraction of the offered load.
     double m_weight;
     int m_priority;
 };
 
-/// "flood" offers three fifths of everything; "urgent" has priority.
+/// "flood" offers three fifths of the load; "urgent" has priority.
 constexpr std::array<Caller, 4> Callers = { {
     { "flood", 0.6, 1, 0 },
     { "large", 0.2, 2, 0 },
@@ -39,23 +39,24 @@
     double m_done = 0; ///< Tokens of requests that finished in time.
     int m_requests = 0;
     int m_refused = 0;
-    double m_shortDone = 0; ///< The part of m_done that short requests are.
+    double m_shortDone = 0; ///< The part of m_done from short requests.
     std::vector<double> m_waits;
 };
 
 struct OverloadResult {
     std::array<CallerResult, Callers.size()> m_callers;
-    double m_done = 0; ///< Tokens a second in time.
+    double m_done = 0; ///< Tokens of requests that finished in time.
     int m_admitted = 0;
-    int m_late = 0; ///< Began, but ended after the deadline.
-    int m_expired = 0; ///< Admitted, but could not be begun in time.
-    double m_longestRefusal = 0; ///< Seconds from when a request is given up to its answer.
-    std::vector<double> m_backlog; ///< Waiting tokens at each second.
+    int m_late = 0; ///< Started, but ended after the deadline.
+    int m_expired = 0; ///< Admitted, but not started in time.
+    double m_longestRefusal =
+        0; ///< Seconds from the latest start of an expired request to its refusal.
+    std::vector<double> m_backlog; ///< Queued tokens at each second.
 };
 
 enum class OverloadPolicy {
-    Present,
-    Fifo, ///< First come, first served, unbounded, no look at deadlines.
+    Present, ///< The fair queue and the admission of the product.
+    Fifo, ///< First come, first served, without bounds or deadlines.
 };
 
 class OverloadSim
@@ -94,10 +95,10 @@
         Job m_job;
         bool operator<(const Running &other) const { return m_end > other.m_end; }
     };
-    struct Again {
+    struct Retry {
         double m_time = 0;
         Job m_job;
-        bool operator<(const Again &other) const { return m_time > other.m_time; }
+        bool operator<(const Retry &other) const { return m_time > other.m_time; }
     };
 
     static TimePoint at(double seconds)
@@ -112,8 +113,8 @@
         double next = std::min(until, m_nextArrival);
         if (!m_running.empty())
             next = std::min(next, m_running.top().m_end);
-        if (!m_again.empty())
-            next = std::min(next, m_again.top().m_time);
+        if (!m_retries.empty())
+            next = std::min(next, m_retries.top().m_time);
         if (const auto expiry = m_queue.nextExpiry(); expiry && m_policy == OverloadPolicy::Present)
             next = std::min(next, std::chrono::duration<double>(*expiry - Start).count() + 1e-6);
         next = std::max(next, m_now);
@@ -123,9 +124,9 @@
         expire();
         while (!m_running.empty() && m_running.top().m_end <= m_now)
             finish();
-        while (!m_again.empty() && m_again.top().m_time <= m_now) {
-            const Job job = m_again.top().m_job;
-            m_again.pop();
+        while (!m_retries.empty() && m_retries.top().m_time <= m_now) {
+            const Job job = m_retries.top().m_job;
+            m_retries.pop();
             arrive(job);
         }
         if (m_nextArrival <= m_now)
@@ -170,7 +171,7 @@
             return refuse(job, refusal->m_retryAfter);
         const PushResult pushed = m_queue.push(waiting);
         if (pushed.m_displaced)
-            giveUp(*pushed.m_displaced);
+            refuseQueued(*pushed.m_displaced);
         if (!pushed.m_accepted)
             return refuse(job, spreadRetryAfter(m_deadlines, Seconds(1), m_random));
         m_result.m_admitted += 1;
@@ -199,24 +200,24 @@
             m_result.m_expired += 1;
             const double decided = std::chrono::duration<double>(expired.m_startBy - Start).count();
             m_result.m_longestRefusal = std::max(m_result.m_longestRefusal, m_now - decided);
-            learn(m_jobs.at(expired.m_id));
-            giveUp(expired);
+            recordWait(m_jobs.at(expired.m_id));
+            refuseQueued(expired);
         }
     }
 
-    void learn(const Job &job)
+    void recordWait(const Job &job)
     {
         learnWait(m_corrections[job.m_caller], job.m_predicted, at(m_now) - at(job.m_arrived));
     }
 
-    void giveUp(const WaitingRequest &waiting)
+    void refuseQueued(const WaitingRequest &waiting)
     {
         const Job job = m_jobs.at(waiting.m_id);
         m_jobs.erase(waiting.m_id);
         refuse(job, spreadRetryAfter(m_deadlines, Seconds(1), m_random));
     }
 
-    /// Most callers ask again when told, a few times, with a new deadline.
+    /// Most callers retry after the given delay, up to a number of attempts, with a new deadline.
     void refuse(Job job, Duration retryAfter)
     {
         if (job.m_attempts >= 3 || uniform() > 0.7) {
@@ -228,7 +229,7 @@
         job.m_attempts += 1;
         job.m_arrived = m_now + wait;
         job.m_deadline = job.m_arrived + allowed;
-        m_again.push({ job.m_arrived, job });
+        m_retries.push({ job.m_arrived, job });
     }
 
     double runningCost() const { return m_running.size() < Slots ? 0 : m_runningCost / 2; }
@@ -249,7 +250,7 @@
                     return;
                 job = m_jobs.at(next->m_id);
                 m_jobs.erase(next->m_id);
-                learn(job);
+                recordWait(job);
             }
             m_result.m_callers[job.m_caller].m_waits.push_back(m_now - job.m_arrived);
             m_runningCost += job.m_cost;
@@ -281,7 +282,7 @@
     double m_fifoCost = 0;
     std::unordered_map<RequestId, Job> m_jobs;
     std::priority_queue<Running> m_running;
-    std::priority_queue<Again> m_again;
+    std::priority_queue<Retry> m_retries;
     double m_runningCost = 0;
     double m_now = 0;
     double m_nextArrival = 0;
@@ -314,7 +315,7 @@
 
 constexpr std::array<uint64_t, 3> Seeds = { 1, 2, 3 };
 
-TEST(Overload, WorkDoneStaysAtItsPeak)
+TEST(Overload, GoodputStaysNearItsPeak)
 {
     double worst = 1;
     for (const uint64_t seed : Seeds) {
@@ -351,7 +352,7 @@
     }
 }
 
-TEST(Overload, NobodyTakesAnothersFairShare)
+TEST(Overload, EachCallerGetsItsFairShare)
 {
     for (const uint64_t seed : Seeds) {
         const OverloadResult result = runAt(OverloadPolicy::Present, 2, seed);
@@ -367,9 +368,9 @@
                         static_cast<double>(caller.m_refused) / caller.m_requests,
                         percentile(caller.m_waits, 0.5), percentile(caller.m_waits, 0.95));
         }
-        // At twice the capacity all but the flood offer less than their fair share
-        // of 0.8 by weight (large 0.4 of 0.4, small 0.2 of 0.2), after the 0.2 of
-        // the priority.
+        // At twice the capacity, the priority caller takes 0.2 of it. Of the remaining 0.8, all
+        // callers but the flood offer no more than their fair share by weight (large 0.4 of 0.4,
+        // small 0.2 of 0.2).
         for (const size_t i : { 1, 2, 3 }) {
             const CallerResult &caller = result.m_callers[i];
             EXPECT_GE(caller.m_done, 0.9 * caller.m_offered) << Callers[i].m_name;
@@ -377,7 +378,7 @@
     }
 }
 
-TEST(Overload, HighPriorityGoesFirst)
+TEST(Overload, HighPriorityIsServedFirst)
 {
     for (const uint64_t seed : Seeds) {
         const OverloadResult result = runAt(OverloadPolicy::Present, 2, seed);
@@ -388,7 +389,7 @@
     }
 }
 
-TEST(Overload, TheBacklogDrainsWithoutASecondWave)
+TEST(Overload, BacklogDrainsWithoutGrowingAgain)
 {
     for (const uint64_t seed : Seeds) {
         OverloadSim sim(OverloadPolicy::Present, seed);
@@ -399,8 +400,7 @@
         size_t drained = 300;
         while (drained < backlog.size() && backlog[drained] > 0.1 * overload)
             drained += 1;
-        // The load leaves 0.3 of the capacity to work it off; callers that ask
-        // again need as much.
+        // The load leaves 0.3 of the capacity to drain the backlog. Retries need as much again.
         const double due = 2 * overload / (0.3 * Capacity);
         ASSERT_LT(static_cast<double>(drained - 300), due);
         const double later =
