--- a/policy/engine_costs.cpp
+++ b/policy/engine_costs.cpp
@@ -2,7 +2,7 @@
 
 namespace stackquay {
 
-FloatMillis readTime(const EngineCosts &costs, double tokens)
+FloatMillis prefillDuration(const EngineCosts &costs, double tokens)
 {
     constexpr double Million = 1e6;
     const double pairs = tokens * tokens / 2;
@@ -10,10 +10,10 @@
            + costs.m_perMillionPairs * (pairs / Million);
 }
 
-FloatMillis passTime(const EngineCosts &costs, uint32_t writers, double contextTokens)
+FloatMillis passTime(const EngineCosts &costs, uint32_t streams, double contextTokens)
 {
     constexpr double Thousand = 1e3;
-    const FloatMillis step = costs.m_step + costs.m_stepPerSequence * writers
+    const FloatMillis step = costs.m_step + costs.m_stepPerSequence * streams
                              + costs.m_stepPerThousandContext * (contextTokens / Thousand);
     return step * costs.m_stride;
 }
--- a/policy/engine_costs.h
+++ b/policy/engine_costs.h
@@ -1,8 +1,8 @@
-/// Arithmetic of an engine whose costs are declared: how long it reads a prompt, and how long one
-/// of its passes takes.
+/// Prefill and decode times of an engine, computed from the costs declared in the configuration.
 ///
-/// An engine works in passes. A pass that writes executes `stride` token steps, and reads waiting
-/// prompts in between, so that each read lengthens the pause of every stream that writes there.
+/// An engine works in passes. A pass executes `stride` decode steps for all streams of the engine
+/// and prefills the waiting prompts, so each prefill lengthens the gap between events of every
+/// stream that decodes there.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,28 @@
 
 using FloatMillis = std::chrono::duration<double, std::milli>;
 
+/// Declared costs of one engine.
 struct EngineCosts {
-    uint32_t m_slots = 1; ///< Requests at once.
-    uint64_t m_memoryTokens = 0;
-    uint32_t m_stride = 1; ///< Token steps in a pass that writes.
-    FloatMillis m_step{ 1 };
-    FloatMillis m_stepPerSequence{ 0 };
-    FloatMillis m_stepPerThousandContext{ 0 };
-    double m_readTokensPerSecond = 1; ///< Prompt tokens.
-    FloatMillis m_perMillionPairs{ 0 }; ///< Pairs of a token and any earlier one.
-    FloatMillis m_hop{ 0 }; ///< Added to a step for each request read by several engines.
-    uint64_t m_usualAnswerTokens = 0; ///< Mean; zero: not declared.
+    uint32_t m_slots = 1; ///< Requests that decode concurrently.
+    uint64_t m_memoryTokens = 0; ///< Capacity of the KV cache.
+    uint32_t m_stride = 1; ///< Decode steps in a pass.
+    FloatMillis m_step{ 1 }; ///< Base time of a decode step.
+    FloatMillis m_stepPerSequence{ 0 }; ///< Added for each decoding request.
+    FloatMillis m_stepPerThousandContext{ 0 }; ///< Added for each 1,000 tokens of context.
+    double m_readTokensPerSecond = 1; ///< Prefill rate, without attention.
+    FloatMillis m_perMillionPairs{ 0 }; ///< Attention: pairs of a token and an earlier one.
+    FloatMillis m_hop{ 0 }; ///< Added to a step for each request that several engines prefilled.
+    uint64_t m_usualAnswerTokens = 0; ///< Mean length of an answer; 0: not declared.
 };
 
-/// Time to read a prompt of @p tokens on one engine that does nothing else.
-FloatMillis readTime(const EngineCosts &costs, double tokens);
+/// Time to prefill a prompt of @p tokens on one otherwise idle engine.
+FloatMillis prefillDuration(const EngineCosts &costs, double tokens);
 
-/// Time of one pass that writes for @p writers requests with @p contextTokens in all, and reads
-/// nothing.
-FloatMillis passTime(const EngineCosts &costs, uint32_t writers, double contextTokens);
+/// Time of one pass without prefills that decodes @p streams requests with @p contextTokens of
+/// context in total.
+FloatMillis passTime(const EngineCosts &costs, uint32_t streams, double contextTokens);
 
-/// Time to write @p answerTokens on an engine whose slots are all taken and whose memory is half
+/// Time to decode @p answerTokens on an engine whose slots are all taken and whose memory is half
 /// full.
 FloatMillis writeTime(const EngineCosts &costs, double answerTokens);
 
--- a/policy/engine_room.cpp
+++ b/policy/engine_room.cpp
@@ -7,16 +7,19 @@
 
 namespace {
 
-/// A first event waits for the pass in progress and comes with its own: one and a half on average.
+/// Passes from sending to the first event: half of the pass in progress on average, then a whole
+/// one.
 constexpr double PassesToFirstEvent = 1.5;
-/// Each writer costs a newcomer about this much in pauses; it spreads equal engines evenly.
-constexpr double WriterCostMs = 6;
-/// Added where the slots are all in use: the request would wait for one to end.
-constexpr double FullCostMs = 2'000;
-/// Costs are drawn apart by up to this: half a writer, so that it decides between near equals.
-constexpr double DrawCostMs = 3;
-/// An endpoint elsewhere costs the round trip; it decides between equals only.
-constexpr double FarCostMs = 1;
+/// Each attempt on an engine lengthens the gaps of a new stream by about this much. The cost also
+/// spreads streams evenly over equal engines.
+constexpr double AttemptCostMs = 6;
+/// Added if all slots are in use, as the request would have to wait for one.
+constexpr double FullEngineCostMs = 2'000;
+/// Upper bound of the random cost: half of AttemptCostMs, so that it decides only between engines
+/// of nearly equal cost.
+constexpr double MaxJitterCostMs = 3;
+/// Round trip to an endpoint in another data centre; decides only between engines of equal cost.
+constexpr double RemoteCostMs = 1;
 
 EndpointUse useOf(const EndpointUses &uses, const EndpointId &endpoint)
 {
@@ -24,64 +27,68 @@
     return found == uses.end() ? EndpointUse{} : found->second;
 }
 
-EngineRoom roomOf(const RoomSettings &settings, const EngineCosts &costs,
-                  const EndpointRecord &endpoint, const EndpointUses &uses,
-                  const RoomQuestion &question)
+EngineCandidate candidateFor(const CandidateSettings &settings, const EngineCosts &costs,
+                             const EndpointRecord &endpoint, const EndpointUses &uses,
+                             const CandidateQuery &question)
 {
-    EngineRoom room;
-    room.m_endpoint = &endpoint;
-    room.m_use = useOf(uses, endpoint.m_id);
-    const EndpointUse &use = room.m_use;
-    const double far = endpoint.m_dataCentre == question.m_dataCentre ? 0 : FarCostMs;
-    const double draw = question.m_draw ? question.m_draw() * DrawCostMs : 0;
-    const double full = use.m_attempts >= costs.m_slots ? FullCostMs : 0;
-    room.m_partCost = use.m_readBacklogMs + far;
-    room.m_answerCost = room.m_partCost + WriterCostMs * use.m_attempts + full + draw;
-    room.m_roomMs = readingRoom(settings, costs, use);
-    room.m_freeTokens =
+    EngineCandidate candidate;
+    candidate.m_endpoint = &endpoint;
+    candidate.m_use = useOf(uses, endpoint.m_id);
+    const EndpointUse &use = candidate.m_use;
+    const double far = endpoint.m_dataCentre == question.m_dataCentre ? 0 : RemoteCostMs;
+    const double draw = question.m_draw ? question.m_draw() * MaxJitterCostMs : 0;
+    const double full = use.m_attempts >= costs.m_slots ? FullEngineCostMs : 0;
+    candidate.m_prefillCost = use.m_readBacklogMs + far;
+    candidate.m_answerCost = candidate.m_prefillCost + AttemptCostMs * use.m_attempts + full + draw;
+    candidate.m_prefillHeadroomMs = prefillHeadroomMs(settings, costs, use);
+    candidate.m_freeTokens =
         std::max(0.0, usableTokens(settings, costs) - static_cast<double>(use.m_tokens));
-    return room;
+    return candidate;
 }
 
 } // namespace
 
-double usableTokens(const RoomSettings &settings, const EngineCosts &costs)
+double usableTokens(const CandidateSettings &settings, const EngineCosts &costs)
 {
-    return static_cast<double>(costs.m_memoryTokens) * (1 - settings.m_memoryReserve);
+    return static_cast<double>(costs.m_memoryTokens) * (1 - settings.m_memoryReserveShare);
 }
 
-double readingRoom(const RoomSettings &settings, const EngineCosts &costs, const EndpointUse &use)
+double prefillHeadroomMs(const CandidateSettings &settings, const EngineCosts &costs,
+                         const EndpointUse &use)
 {
-    if (use.m_tightestGapMs == 0)
+    if (use.m_minGapLimitMs == 0)
         return std::numeric_limits<double>::infinity();
     const FloatMillis pass = passTime(costs, use.m_attempts, static_cast<double>(use.m_tokens));
-    return settings.m_gapShare * use.m_tightestGapMs - pass.count() - use.m_readBacklogMs;
+    return settings.m_maxGapUse * use.m_minGapLimitMs - pass.count() - use.m_readBacklogMs;
 }
 
-std::vector<EngineRoom> roomsOf(const RoomSettings &settings, const EngineCosts &costs,
-                                const std::vector<EndpointRecord> &endpoints,
-                                const EndpointUses &uses, const RoomQuestion &question)
+std::vector<EngineCandidate> engineCandidates(const CandidateSettings &settings,
+                                              const EngineCosts &costs,
+                                              const std::vector<EndpointRecord> &endpoints,
+                                              const EndpointUses &uses,
+                                              const CandidateQuery &question)
 {
-    std::vector<EngineRoom> rooms;
-    rooms.reserve(endpoints.size());
+    std::vector<EngineCandidate> candidates;
+    candidates.reserve(endpoints.size());
     for (const EndpointRecord &endpoint : endpoints)
-        rooms.push_back(roomOf(settings, costs, endpoint, uses, question));
-    return rooms;
+        candidates.push_back(candidateFor(settings, costs, endpoint, uses, question));
+    return candidates;
 }
 
-bool readsCheaper(const EngineRoom &left, const EngineRoom &right)
+bool hasLowerPrefillCost(const EngineCandidate &left, const EngineCandidate &right)
 {
-    return left.m_partCost < right.m_partCost;
+    return left.m_prefillCost < right.m_prefillCost;
 }
 
-FloatMillis predictFirst(const EngineCosts &costs, const std::vector<EngineRoom> &engines,
-                         size_t width, FloatMillis part)
+FloatMillis predictFirstEvent(const EngineCosts &costs, const std::vector<EngineCandidate> &engines,
+                              size_t width, FloatMillis part)
 {
     FloatMillis backlog{ 0 };
     for (size_t i = 0; i < width; ++i)
         backlog = std::max(backlog, FloatMillis(engines[i].m_use.m_readBacklogMs));
     const EndpointUse &use = engines.front().m_use;
-    const FloatMillis pass = passTime(costs, use.m_writers + 1, static_cast<double>(use.m_tokens));
+    const FloatMillis pass =
+        passTime(costs, use.m_decodingStreams + 1, static_cast<double>(use.m_tokens));
     return backlog + pass * PassesToFirstEvent + part;
 }
 
--- a/policy/engine_room.h
+++ b/policy/engine_room.h
@@ -1,5 +1,5 @@
-/// An engine as a candidate for a model request: what it costs to answer or to read there, what
-/// memory it has, and how long it may read until a stream that it writes pauses for too long.
+/// Engines as candidates for a model request: the cost of decoding or prefilling there, the free
+/// memory, and how much more prefill the engine's streams tolerate.
 #pragma once
 
 #include <functional>
@@ -11,49 +11,56 @@
 
 namespace stackquay {
 
-struct RoomSettings {
-    /// Part of the shortest pause of an engine's streams that its passes and reads may take as
-    /// predicted; the rest is for prompts that come meanwhile, and for errors.
-    double m_gapShare = 0.8;
-    /// Engines keep this part of their memory free of planned use, for answers longer than usual.
-    double m_memoryReserve = 0.1;
+struct CandidateSettings {
+    /// Fraction of the smallest gap limit of an engine's streams that the predicted pass and
+    /// prefills may use. The rest is a margin for prompts that arrive in the meantime and for
+    /// prediction errors.
+    double m_maxGapUse = 0.8;
+    /// Fraction of an engine's memory that plans leave free, for answers longer than usual.
+    double m_memoryReserveShare = 0.1;
 };
 
-/// A candidate with what is known of its load.
-struct EngineRoom {
+/// An engine with its known load. Costs are in milliseconds and serve to compare candidates.
+struct EngineCandidate {
     const EndpointRecord *m_endpoint = nullptr;
     EndpointUse m_use;
-    double m_answerCost = 0; ///< Of answering there.
-    double m_partCost = 0; ///< Of reading a part there.
-    double m_freeTokens = 0;
-    double m_roomMs = 0; ///< Of reading, until a stream pauses for longer than it bears.
+    double m_answerCost = 0; ///< Of decoding the answer on this engine.
+    double m_prefillCost = 0; ///< Of prefilling a part of the prompt on this engine.
+    double m_freeTokens = 0; ///< Memory left for planned use.
+    double m_prefillHeadroomMs = 0; ///< As prefillHeadroomMs().
 };
 
-struct RoomQuestion {
-    DataCentreId m_dataCentre; ///< Of the VM that asks.
-    /// Draws a number in [0, 1) for each candidate, so that VMs that know little do not all choose
-    /// the same; empty: no draw.
+/// Inputs of a choice that do not depend on the candidate.
+struct CandidateQuery {
+    DataCentreId m_dataCentre; ///< Of the VM that chooses.
+    /// Returns a random number in [0, 1) for each candidate. It spreads the choices of VMs that do
+    /// not know each other's load yet. Empty: no randomization.
     std::function<double()> m_draw;
 };
 
-/// Memory of an engine for planned use.
-double usableTokens(const RoomSettings &settings, const EngineCosts &costs);
+/// Memory of one engine that plans may use, in tokens.
+double usableTokens(const CandidateSettings &settings, const EngineCosts &costs);
 
-/// How long an engine may read until one of its streams pauses for longer than it bears; infinite
-/// if none has a limit, below zero if one does already.
-double readingRoom(const RoomSettings &settings, const EngineCosts &costs, const EndpointUse &use);
+/// Time in milliseconds that an engine can spend on further prefills before one of its streams is
+/// predicted to exceed its gap limit. Infinite if no stream has a limit, negative if one is
+/// predicted to exceed it already.
+double prefillHeadroomMs(const CandidateSettings &settings, const EngineCosts &costs,
+                         const EndpointUse &use);
 
-/// All of @p endpoints, in their order.
-std::vector<EngineRoom> roomsOf(const RoomSettings &settings, const EngineCosts &costs,
-                                const std::vector<EndpointRecord> &endpoints,
-                                const EndpointUses &uses, const RoomQuestion &question);
+/// One candidate for each of @p endpoints, in the same order. The candidates point into
+/// @p endpoints.
+std::vector<EngineCandidate> engineCandidates(const CandidateSettings &settings,
+                                              const EngineCosts &costs,
+                                              const std::vector<EndpointRecord> &endpoints,
+                                              const EndpointUses &uses,
+                                              const CandidateQuery &question);
 
-/// Whether a part is read more cheaply by @p left.
-bool readsCheaper(const EngineRoom &left, const EngineRoom &right);
+/// Orders candidates by the cost of prefilling a part of a prompt.
+bool hasLowerPrefillCost(const EngineCandidate &left, const EngineCandidate &right);
 
-/// The first event of a prompt that the first @p width of @p engines read in parts of @p part; the
-/// first one answers.
-FloatMillis predictFirst(const EngineCosts &costs, const std::vector<EngineRoom> &engines,
-                         size_t width, FloatMillis part);
+/// Predicted time from sending to the first event, for a prompt that the first @p width of
+/// @p engines prefill in parts that take @p part each. The first engine decodes the answer.
+FloatMillis predictFirstEvent(const EngineCosts &costs, const std::vector<EngineCandidate> &engines,
+                              size_t width, FloatMillis part);
 
 } // namespace stackquay
--- a/policy/gang_plan.cpp
+++ b/policy/gang_plan.cpp
@@ -13,11 +13,11 @@
     return found == uses.end() ? 0 : found->second.m_attempts;
 }
 
-/// The engine that answers a strict stream: one with memory for as much of the prompt as any, then
-/// the cheapest.
-size_t chooseFirst(const std::vector<EngineRoom> &engines, double tokens)
+/// Index of the engine that answers: the one that lacks the least memory for @p tokens, then the
+/// one with the lowest cost. @p engines is not empty.
+size_t chooseAnswerer(const std::vector<EngineCandidate> &engines, double tokens)
 {
-    const auto lacking = [tokens](const EngineRoom &engine) {
+    const auto lacking = [tokens](const EngineCandidate &engine) {
         return std::max(0.0, tokens - engine.m_freeTokens);
     };
     size_t best = 0;
@@ -30,15 +30,15 @@
     return best;
 }
 
-/// Reserves on helpers what the first engine cannot hold, on those with most room first. False if
-/// it does not fit.
-bool reserveRest(GangPlan &plan, const std::vector<EngineRoom> &engines, double rest)
+/// Reserves @p rest tokens that the first engine cannot hold on the helpers, those with the most
+/// free memory first. Returns false if they do not fit.
+bool reserveRemainder(GangPlan &plan, const std::vector<EngineCandidate> &engines, double rest)
 {
     std::vector<GangMember *> helpers;
     for (size_t i = 1; i < plan.m_members.size(); ++i)
         helpers.push_back(&plan.m_members[i]);
     const auto freeOf = [&engines](const GangMember *member) {
-        for (const EngineRoom &engine : engines) {
+        for (const EngineCandidate &engine : engines) {
             if (engine.m_endpoint->m_id == member->m_endpoint.m_id)
                 return engine.m_freeTokens;
         }
@@ -60,14 +60,14 @@
     return rest <= 0;
 }
 
-GangPlan planOf(const Readers &readers, const LongPrompt &prompt)
+GangPlan planOf(const PrefillGroup &group, const LongPrompt &prompt)
 {
     GangPlan plan;
-    for (const EngineRoom &engine : readers.m_engines)
-        plan.m_members.push_back({ *engine.m_endpoint, readers.m_part.count(), 0, false });
+    for (const EngineCandidate &engine : group.m_engines)
+        plan.m_members.push_back({ *engine.m_endpoint, group.m_partTime.count(), 0, false });
     plan.m_members[0].m_tokens = static_cast<uint64_t>(prompt.m_tokens);
-    plan.m_firstEvent = readers.m_firstEvent;
-    plan.m_spoilt = readers.m_spoilt;
+    plan.m_firstEvent = group.m_firstEvent;
+    plan.m_spoilt = group.m_spoilt;
     return plan;
 }
 
@@ -75,59 +75,63 @@
                     const GangQuestion &question)
 {
     const double tokens = question.m_promptTokens + question.m_answerTokens;
-    return { tokens, readTime(costs, question.m_promptTokens),
-             tokens > usableTokens(settings.m_room, costs) };
+    return { tokens, prefillDuration(costs, question.m_promptTokens),
+             tokens > usableTokens(settings.m_candidates, costs) };
 }
 
 std::optional<GangPlan> planStrict(const GangSettings &settings, const EngineCosts &costs,
                                    const GangSides &sides, const EndpointUses &uses,
                                    const GangQuestion &question)
 {
-    Readers readers;
-    std::vector<EngineRoom> &engines = readers.m_engines;
-    engines = roomsOf(settings.m_room, costs, sides.m_own.empty() ? sides.m_other : sides.m_own,
-                      uses, question.m_rooms);
+    PrefillGroup group;
+    std::vector<EngineCandidate> &engines = group.m_engines;
+    engines =
+        engineCandidates(settings.m_candidates, costs,
+                         sides.m_own.empty() ? sides.m_other : sides.m_own, uses, question.m_rooms);
     if (engines.empty())
         return std::nullopt;
     const LongPrompt prompt = promptOf(settings, costs, question);
-    std::swap(engines[0], engines[chooseFirst(engines, prompt.m_tokens)]);
-    std::stable_sort(engines.begin() + 1, engines.end(), readsCheaper);
-    const size_t width =
-        mostReaders(settings.m_readers, engines.size(), prompt.m_read, settings.m_strictPart);
+    std::swap(engines[0], engines[chooseAnswerer(engines, prompt.m_tokens)]);
+    std::stable_sort(engines.begin() + 1, engines.end(), hasLowerPrefillCost);
+    const size_t width = maxPrefillEngines(settings.m_prefillGroup, engines.size(),
+                                           prompt.m_prefill, settings.m_maxStrictPart);
     engines.resize(width);
-    readers.m_part = prompt.m_read / static_cast<double>(width);
-    readers.m_firstEvent = predictFirst(costs, engines, width, readers.m_part);
-    return planOf(readers, prompt);
+    group.m_partTime = prompt.m_prefill / static_cast<double>(width);
+    group.m_firstEvent = predictFirstEvent(costs, engines, width, group.m_partTime);
+    return planOf(group, prompt);
 }
 
-/// First the long prompts' own side, with one engine of the others to answer middle prompts; then
-/// all, if that takes too long.
-std::optional<Readers> longReaders(const GangSettings &settings, const EngineCosts &costs,
-                                   const GangSides &sides, const EndpointUses &uses,
-                                   const GangQuestion &question, const LongPrompt &prompt)
+/// Tries the long prompts' own side first, with one engine of the other side to answer if the
+/// prompt is small enough; then all engines, if that takes too long.
+std::optional<PrefillGroup> longPrefillGroup(const GangSettings &settings, const EngineCosts &costs,
+                                             const GangSides &sides, const EndpointUses &uses,
+                                             const GangQuestion &question, const LongPrompt &prompt)
 {
     const auto byCost = [&](const std::vector<EndpointRecord> &endpoints) {
-        auto rooms = roomsOf(settings.m_room, costs, endpoints, uses, question.m_rooms);
-        std::stable_sort(rooms.begin(), rooms.end(), readsCheaper);
-        return rooms;
+        auto candidates =
+            engineCandidates(settings.m_candidates, costs, endpoints, uses, question.m_rooms);
+        std::stable_sort(candidates.begin(), candidates.end(), hasLowerPrefillCost);
+        return candidates;
     };
-    const std::vector<EngineRoom> own = byCost(sides.m_own);
-    const std::vector<EngineRoom> others = byCost(sides.m_other);
+    const std::vector<EngineCandidate> own = byCost(sides.m_own);
+    const std::vector<EngineCandidate> others = byCost(sides.m_other);
     const bool guestAnswers =
         prompt.m_tokens <= settings.m_guestAnswerShare * static_cast<double>(costs.m_memoryTokens);
-    std::vector<EngineRoom> engines = own;
+    std::vector<EngineCandidate> engines = own;
     if (guestAnswers && !others.empty()) {
-        engines.push_back(others[chooseFirst(others, prompt.m_tokens)]);
-        // Before others with as much room, as its passes are short; their costs are not negative.
+        engines.push_back(others[chooseAnswerer(others, prompt.m_tokens)]);
+        // Preferred over engines with equal headroom, as its passes are short. Other costs are not
+        // negative.
         engines.back().m_answerCost = -1;
-        std::stable_sort(engines.begin(), engines.end(), readsCheaper);
+        std::stable_sort(engines.begin(), engines.end(), hasLowerPrefillCost);
     }
-    const auto soonest = [&](const std::vector<EngineRoom> &candidates) {
-        return soonestReaders(settings.m_readers, costs, candidates, prompt, question.m_care);
+    const auto soonest = [&](const std::vector<EngineCandidate> &candidates) {
+        return fastestPrefillGroup(settings.m_prefillGroup, costs, candidates, prompt,
+                                   question.m_disruption);
     };
-    auto readers = soonest(engines);
-    if (readers && readers->m_firstEvent <= question.m_within * settings.m_ownSideShare)
-        return readers;
+    auto group = soonest(engines);
+    if (group && group->m_firstEvent <= question.m_timeLeft * settings.m_maxOwnSideShare)
+        return group;
     engines = own;
     engines.insert(engines.end(), others.begin(), others.end());
     return soonest(engines);
@@ -142,17 +146,17 @@
     if (question.strict())
         return planStrict(settings, costs, sides, uses, question);
     const LongPrompt prompt = promptOf(settings, costs, question);
-    const auto readers = longReaders(settings, costs, sides, uses, question, prompt);
-    if (!readers)
+    const auto group = longPrefillGroup(settings, costs, sides, uses, question, prompt);
+    if (!group)
         return std::nullopt;
-    GangPlan plan = planOf(*readers, prompt);
-    if (!prompt.m_spans)
+    GangPlan plan = planOf(*group, prompt);
+    if (!prompt.m_needsSeveralEngines)
         return plan;
     const double answer = question.m_answerTokens;
-    const double held = std::min(readers->m_engines[0].m_freeTokens, prompt.m_tokens);
+    const double held = std::min(group->m_engines[0].m_freeTokens, prompt.m_tokens);
     const double kept = std::max(held - answer, 0.0);
     plan.m_members[0].m_tokens = static_cast<uint64_t>(kept + answer);
-    if (!reserveRest(plan, readers->m_engines, question.m_promptTokens - kept))
+    if (!reserveRemainder(plan, group->m_engines, question.m_promptTokens - kept))
         return std::nullopt;
     return plan;
 }
@@ -162,7 +166,7 @@
 {
     const EndpointRecord *best = nullptr;
     double bestCost = 0;
-    constexpr double FarShare = 0.01; // Decides between equals only.
+    constexpr double FarShare = 0.01; // Decides only between equal loads.
     for (const EndpointRecord &endpoint : candidates) {
         const double load =
             static_cast<double>(attemptsAt(uses, endpoint.m_id)) / std::max(endpoint.m_slots, 1u);
--- a/policy/gang_plan.h
+++ b/policy/gang_plan.h
@@ -1,10 +1,10 @@
-/// Chooses the endpoints of one model request: which engine answers, which ones help to read its
-/// prompt, and what memory is reserved where.
+/// Chooses the endpoints of one model request (its gang): the engine that decodes the answer, the
+/// helpers that prefill parts of its prompt, and the memory to reserve on each.
 ///
-/// A long prompt is read in even parts by several engines, so that the first event comes early and
-/// no engine is blocked for long. Strict streams and long prompts have engines of their own, which
-/// strictEngines() decides. Engines of strict streams read long prompts only if their streams bear
-/// it and the others would take too much of the time left.
+/// Several engines prefill a long prompt in equal parts, so that the first event comes early and no
+/// engine is blocked for long. Strict streams and long prompts use separate engines, which
+/// strictEngines() assigns. Engines of strict streams prefill long prompts only if their streams
+/// tolerate it and the other engines would use too much of the remaining time.
 #pragma once
 
 #include <optional>
@@ -15,59 +15,64 @@
 namespace stackquay {
 
 struct GangSettings {
-    RoomSettings m_room;
-    ReaderSettings m_readers;
-    /// Longest part of a strict stream's prompt on one engine: with a pass of 45 ms and another
-    /// such part it stays below a pause of 250 ms.
-    FloatMillis m_strictPart{ 60 };
-    /// Engines of strict streams may read a long prompt too, as far as their streams bear it, if
-    /// its own side takes more than this part of the time that is left: later ones find their
-    /// engines free earlier.
-    double m_ownSideShare = 0.5;
-    /// A long prompt that takes up to this part of an engine's memory may be answered by an engine
-    /// of strict streams, whose passes are short, and is read mostly by its own side.
+    CandidateSettings m_candidates;
+    PrefillGroupSettings m_prefillGroup;
+    /// Longest part of a strict stream's prompt on one engine. Together with a pass of 45 ms and
+    /// another such part, the gap between events stays below 250 ms.
+    FloatMillis m_maxStrictPart{ 60 };
+    /// Engines of strict streams may help with a long prompt, as far as their streams tolerate it,
+    /// if its own side would take more than this fraction of the remaining time. That frees the own
+    /// side earlier for the prompts that follow.
+    double m_maxOwnSideShare = 0.5;
+    /// A long prompt that needs up to this fraction of an engine's memory may be answered by an
+    /// engine of strict streams, whose passes are short. Its own side prefills most of it.
     double m_guestAnswerShare = 0.3;
 };
 
+/// The request to be planned.
 struct GangQuestion {
     double m_promptTokens = 0;
-    double m_answerTokens = 0;
-    uint32_t m_gapLimitMs = 0;
-    FloatMillis m_within{ 1'000 }; ///< Left until the first event is wanted.
-    StreamCare m_care = StreamCare::Spare; ///< For long prompts.
-    RoomQuestion m_rooms;
+    double m_answerTokens = 0; ///< Expected.
+    uint32_t m_gapLimitMs = 0; ///< Longest tolerated gap between events; 0: no limit.
+    FloatMillis m_timeLeft{ 1'000 }; ///< Until the latency target of the first event.
+    StreamCare m_disruption = StreamCare::Spare; ///< For long prompts only.
+    CandidateQuery m_rooms;
 
+    /// Whether its stream is strict, see isStrictGap().
     bool strict() const { return isStrictGap(m_gapLimitMs); }
 };
 
-/// One engine that takes part. The first member answers.
+/// One engine of a gang.
 struct GangMember {
     EndpointRecord m_endpoint;
-    double m_readMs = 0;
-    uint64_t m_tokens = 0; ///< Memory that its part takes; for a helper only what it reserves.
-    bool m_reserve = false; ///< That memory has to be reserved before the request is sent.
+    double m_readMs = 0; ///< Predicted prefill of its part, alone on the engine.
+    /// Memory that the request uses there. A helper keeps only what is reserved for parts of the KV
+    /// cache that the first engine cannot hold.
+    uint64_t m_tokens = 0;
+    bool m_reserve = false; ///< m_tokens has to be reserved before the request is sent.
 };
 
 struct GangPlan {
-    std::vector<GangMember> m_members; ///< At least one.
-    FloatMillis m_firstEvent{ 0 }; ///< Predicted, from sending.
-    /// Streams that are likely to pause for longer than they bear, as its parts are read.
+    std::vector<GangMember> m_members; ///< At least one; the first one decodes the answer.
+    FloatMillis m_firstEvent{ 0 }; ///< Predicted time from sending to the first event.
+    /// Streams that the prefill is predicted to disrupt, so that they exceed their gap limits.
     uint32_t m_spoilt = 0;
 };
 
-/// The candidates of the request's own side, and the others.
+/// The candidates of the request's own side of the pool, and the others.
 struct GangSides {
     std::vector<EndpointRecord> m_own;
     std::vector<EndpointRecord> m_other;
 };
 
-/// No plan if there is no candidate, or no set of engines has memory for the prompt now.
+/// Returns no plan if there is no candidate, or no set of them has the memory for a long prompt and
+/// streams that tolerate its prefill now.
 std::optional<GangPlan> planGang(const GangSettings &settings, const EngineCosts &costs,
                                  const GangSides &sides, const EndpointUses &uses,
                                  const GangQuestion &question);
 
-/// The candidate with the fewest attempts in flight for its slots; one in the same data centre wins
-/// ties. Null if there is none.
+/// The candidate with the fewest attempts in flight per slot; @p dataCentre wins ties. Null if
+/// there is no candidate.
 const EndpointRecord *leastLoaded(const std::vector<EndpointRecord> &candidates,
                                   const EndpointUses &uses, const DataCentreId &dataCentre);
 
--- a/policy/long_readers.cpp
+++ b/policy/long_readers.cpp
@@ -8,93 +8,101 @@
 
 namespace {
 
-/// Whether @p left had better answer a prompt of @p tokens than @p right: it has memory for more of
-/// it, a slot, and little room to read beyond the part. So engines that write get more streams, and
-/// those that write none stay free to read.
-bool answersBetter(const EngineRoom &left, const EngineRoom &right, double tokens, uint32_t slots)
+/// Whether @p left is preferred over @p right for answering a prompt of @p tokens: it has memory
+/// for more of it, a free slot, and less prefill headroom. This gathers streams on engines that
+/// already decode, and keeps engines without streams free for prefills.
+bool isBetterAnswerer(const EngineCandidate &left, const EngineCandidate &right, double tokens,
+                      uint32_t slots)
 {
-    const auto rank = [&](const EngineRoom &engine) {
+    const auto rank = [&](const EngineCandidate &engine) {
         return std::tuple(std::max(0.0, tokens - engine.m_freeTokens),
-                          engine.m_use.m_attempts >= slots, engine.m_roomMs, engine.m_answerCost);
+                          engine.m_use.m_attempts >= slots, engine.m_prefillHeadroomMs,
+                          engine.m_answerCost);
     };
     return rank(left) < rank(right);
 }
 
-double freeTokens(const std::vector<EngineRoom> &engines)
+double freeTokens(const std::vector<EngineCandidate> &engines)
 {
     double tokens = 0;
-    for (const EngineRoom &engine : engines)
+    for (const EngineCandidate &engine : engines)
         tokens += engine.m_freeTokens;
     return tokens;
 }
 
-/// Streams of @p engines that do not bear a part of @p part.
-uint32_t spoiltBy(FloatMillis part, const std::vector<EngineRoom> &engines)
+/// Number of streams on @p engines that a prefill of @p part pushes beyond their gap limits.
+uint32_t disruptedStreamsAt(FloatMillis part, const std::vector<EngineCandidate> &engines)
 {
     uint32_t spoilt = 0;
-    for (const EngineRoom &engine : engines)
-        spoilt += engine.m_roomMs < part.count() ? engine.m_use.m_attempts : 0;
+    for (const EngineCandidate &engine : engines)
+        spoilt += engine.m_prefillHeadroomMs < part.count() ? engine.m_use.m_attempts : 0;
     return spoilt;
 }
 
-/// Those that may read a part of @p part, the one that answers first.
-std::vector<EngineRoom> membersFor(const EngineCosts &costs, const std::vector<EngineRoom> &engines,
-                                   const LongPrompt &prompt, FloatMillis part, StreamCare care)
+/// The engines that may prefill a part of @p part, with the answering engine first.
+std::vector<EngineCandidate> eligibleEngines(const EngineCosts &costs,
+                                             const std::vector<EngineCandidate> &engines,
+                                             const LongPrompt &prompt, FloatMillis part,
+                                             StreamCare care)
 {
-    std::vector<EngineRoom> members;
-    for (const EngineRoom &engine : engines) {
-        if (care == StreamCare::Spoil || engine.m_roomMs >= part.count())
+    std::vector<EngineCandidate> members;
+    for (const EngineCandidate &engine : engines) {
+        if (care == StreamCare::AllowDisruption || engine.m_prefillHeadroomMs >= part.count())
             members.push_back(engine);
     }
     if (members.empty())
         return members;
     const auto first =
         std::min_element(members.begin(), members.end(), [&](const auto &left, const auto &right) {
-            return answersBetter(left, right, prompt.m_tokens, costs.m_slots);
+            return isBetterAnswerer(left, right, prompt.m_tokens, costs.m_slots);
         });
     std::rotate(members.begin(), first, first + 1);
     return members;
 }
 
-/// The @p width engines that read it soonest; nothing if there are not so many.
-std::optional<Readers> readersOf(const EngineCosts &costs, const std::vector<EngineRoom> &engines,
-                                 const LongPrompt &prompt, size_t width, StreamCare care)
+/// The answering engine and the preferred helpers, @p width engines in total. No value if fewer are
+/// eligible or their memory does not suffice.
+std::optional<PrefillGroup> prefillGroupOf(const EngineCosts &costs,
+                                           const std::vector<EngineCandidate> &engines,
+                                           const LongPrompt &prompt, size_t width, StreamCare care)
 {
-    Readers readers;
-    readers.m_part = prompt.m_read / static_cast<double>(width);
-    readers.m_engines = membersFor(costs, engines, prompt, readers.m_part, care);
-    if (readers.m_engines.size() < width)
+    PrefillGroup group;
+    group.m_partTime = prompt.m_prefill / static_cast<double>(width);
+    group.m_engines = eligibleEngines(costs, engines, prompt, group.m_partTime, care);
+    if (group.m_engines.size() < width)
         return std::nullopt;
-    readers.m_engines.resize(width);
-    if (freeTokens(readers.m_engines) < prompt.m_tokens)
+    group.m_engines.resize(width);
+    if (freeTokens(group.m_engines) < prompt.m_tokens)
         return std::nullopt;
-    readers.m_spoilt = spoiltBy(readers.m_part, readers.m_engines);
-    readers.m_firstEvent = predictFirst(costs, readers.m_engines, width, readers.m_part);
-    return readers;
+    group.m_spoilt = disruptedStreamsAt(group.m_partTime, group.m_engines);
+    group.m_firstEvent = predictFirstEvent(costs, group.m_engines, width, group.m_partTime);
+    return group;
 }
 
 } // namespace
 
-size_t mostReaders(const ReaderSettings &settings, size_t engines, FloatMillis read,
-                   FloatMillis part)
+size_t maxPrefillEngines(const PrefillGroupSettings &settings, size_t engines, FloatMillis prefill,
+                         FloatMillis part)
 {
-    const size_t most = std::min<size_t>(engines, settings.m_mostHelpers + 1);
-    return std::clamp<size_t>(static_cast<size_t>(std::ceil(read / part)), 1, most);
+    const size_t most = std::min<size_t>(engines, settings.m_maxHelpers + 1);
+    return std::clamp<size_t>(static_cast<size_t>(std::ceil(prefill / part)), 1, most);
 }
 
-std::optional<Readers> soonestReaders(const ReaderSettings &settings, const EngineCosts &costs,
-                                      const std::vector<EngineRoom> &engines,
-                                      const LongPrompt &prompt, StreamCare care)
+std::optional<PrefillGroup> fastestPrefillGroup(const PrefillGroupSettings &settings,
+                                                const EngineCosts &costs,
+                                                const std::vector<EngineCandidate> &engines,
+                                                const LongPrompt &prompt, StreamCare care)
 {
-    // Memory may ask for more engines than short parts do.
+    // The memory may require more engines than the minimum part length allows.
     const size_t most =
-        prompt.m_spans ? std::min<size_t>(engines.size(), settings.m_mostHelpers + 1)
-                       : mostReaders(settings, engines.size(), prompt.m_read, settings.m_longPart);
-    std::optional<Readers> best;
+        prompt.m_needsSeveralEngines
+            ? std::min<size_t>(engines.size(), settings.m_maxHelpers + 1)
+            : maxPrefillEngines(settings, engines.size(), prompt.m_prefill, settings.m_minLongPart);
+    std::optional<PrefillGroup> best;
     for (size_t width = 1; width <= most; ++width) {
-        auto readers = readersOf(costs, engines, prompt, width, care);
-        if (readers && (!best || readers->m_firstEvent < best->m_firstEvent))
-            best = std::move(readers);
+        auto group = prefillGroupOf(costs, engines, prompt, width, care);
+        if (group && (!best || group->m_firstEvent < best->m_firstEvent))
+            best = std::move(group);
     }
     return best;
 }
--- a/policy/long_readers.h
+++ b/policy/long_readers.h
@@ -1,10 +1,10 @@
-/// Which engines read a long prompt together, so that it is read soonest and no stream that they
-/// write pauses for longer than it bears.
+/// Chooses the engines that prefill a long prompt together, for the earliest first event that keeps
+/// the streams on these engines within their gap limits.
 ///
-/// An engine reads a part within one pass, before it writes on: the part and what it has still to
-/// read come on top of every pause there. So each engine has room for parts up to what the
-/// shortest pause of its streams allows. More engines make the parts shorter, but a first event
-/// waits for the one with most to read before.
+/// An engine prefills a part within one pass, before it decodes further, so the part and the
+/// engine's prefill backlog add to the gap of every stream there. The smallest gap limit of its
+/// streams thus bounds the parts that an engine can take. More engines make the parts shorter, but
+/// the first event waits for the engine with the longest backlog.
 #pragma once
 
 #include <optional>
@@ -14,39 +14,44 @@
 
 namespace stackquay {
 
-struct ReaderSettings {
-    /// A long prompt is split down to parts of this length, less than a pass: shorter ones gain
-    /// nothing.
-    FloatMillis m_longPart{ 40 };
-    uint32_t m_mostHelpers = 16; ///< The engines' own limit.
+struct PrefillGroupSettings {
+    /// A long prompt is not divided much further than into parts of this length. It is less than a
+    /// pass, so shorter parts would not make the first event earlier.
+    FloatMillis m_minLongPart{ 40 };
+    uint32_t m_maxHelpers = 16; ///< Limit of the engines.
 };
 
 struct LongPrompt {
-    double m_tokens = 0; ///< With its answer.
-    FloatMillis m_read{ 0 }; ///< On one engine.
-    bool m_spans = false; ///< It needs the memory of several engines.
+    double m_tokens = 0; ///< Memory for the prompt and its answer.
+    FloatMillis m_prefill{ 0 }; ///< Time on one engine.
+    bool m_needsSeveralEngines = false; ///< It does not fit into the memory of one engine.
 };
 
+/// Whether a prefill may disrupt streams, so that they exceed their gap limits.
 enum class StreamCare {
-    Spare, ///< Only engines whose streams bear the reading.
-    Spoil, ///< Any; those whose streams do not bear it are counted.
+    Spare, ///< Use only engines whose streams tolerate the prefill.
+    AllowDisruption, ///< Use any engine and count the disrupted streams.
 };
 
-struct Readers {
-    std::vector<EngineRoom> m_engines; ///< The first one answers.
-    FloatMillis m_part{ 0 };
-    FloatMillis m_firstEvent{ 0 }; ///< Predicted, from sending.
-    uint32_t m_spoilt = 0; ///< Streams likely to pause for longer than they bear.
+/// Engines that prefill one prompt in equal parts.
+struct PrefillGroup {
+    std::vector<EngineCandidate> m_engines; ///< The first one decodes the answer.
+    FloatMillis m_partTime{ 0 }; ///< Predicted prefill time of one part.
+    FloatMillis m_firstEvent{ 0 }; ///< Predicted time from sending to the first event.
+    uint32_t m_spoilt = 0; ///< Streams predicted to exceed their gap limits.
 };
 
-/// How many engines read a prompt of @p read in parts of @p part or more.
-size_t mostReaders(const ReaderSettings &settings, size_t engines, FloatMillis read,
-                   FloatMillis part);
-
-/// @p engines in the order in which they are to help. Nothing if no set of them may read it or has
-/// the memory.
-std::optional<Readers> soonestReaders(const ReaderSettings &settings, const EngineCosts &costs,
-                                      const std::vector<EngineRoom> &engines,
-                                      const LongPrompt &prompt, StreamCare care);
+/// Smallest number of engines, out of @p engines, that divides a prefill of @p prefill into parts
+/// of at most @p part; or the largest permitted number if that does not suffice. At least one.
+size_t maxPrefillEngines(const PrefillGroupSettings &settings, size_t engines, FloatMillis prefill,
+                         FloatMillis part);
+
+/// The group with the earliest predicted first event. @p engines are sorted by preference as
+/// helpers. No value if no group has the memory, or with StreamCare::Spare, if streams do not
+/// tolerate it.
+std::optional<PrefillGroup> fastestPrefillGroup(const PrefillGroupSettings &settings,
+                                                const EngineCosts &costs,
+                                                const std::vector<EngineCandidate> &engines,
+                                                const LongPrompt &prompt, StreamCare care);
 
 } // namespace stackquay
--- a/policy/pool_split.h
+++ b/policy/pool_split.h
@@ -1,9 +1,9 @@
-/// Divides the engines of a pool between strict streams, which bear only short pauses, and long
-/// prompts, whose parts lengthen every pause on the engines that read them.
+/// Splits the engines of a pool between strict streams, which tolerate only short gaps between
+/// events, and long prompts, whose prefill lengthens every gap on the engines involved.
 ///
-/// All VMs see about the same ledger and compute the same division from it: the engines in order of
-/// their ids, the first ones for strict streams. A VM that differs by an engine for a moment makes
-/// one choice worse, nothing more.
+/// All VMs see nearly the same ledger and compute the same split from it: in the order of the
+/// engine ids, the first engines serve strict streams. A VM that is off by one engine for a moment
+/// only makes a less suitable choice.
 #pragma once
 
 #include <unordered_set>
@@ -16,50 +16,51 @@
 namespace stackquay {
 
 struct PoolSplitSettings {
-    /// Part of an engine's slots that strict streams are meant to have at once: with ten of
-    /// sixteen, a pass takes about 60 ms, and reads of newcomers double it at most.
+    /// Target fraction of an engine's slots in use by strict streams. With ten of sixteen, a pass
+    /// takes about 60 ms, and the prefills of new streams at most double it.
     double m_strictPerSlot = 10.0 / 16;
-    /// More engines than this part of the pool are given to strict streams only if these have so
-    /// many an engine that they fill it: a burst of long prompts needs engines from its first.
-    double m_strictShare = 0.85;
+    /// Strict streams get more than this fraction of the pool only if they would use more than
+    /// m_strictPerFullSlot of its slots, so that a burst of long prompts finds engines at once.
+    double m_maxStrictShare = 0.85;
     double m_strictPerFullSlot = 11.0 / 16;
-    /// If both sides need more than there is, strict streams fill engines up to this part of their
-    /// slots, and get as many: for its time of an engine, one in time is worth about twice as much
-    /// as a long prompt (the users' sheets), and late ones crowd out those that follow.
-    double m_strictPerCrowdedSlot = 0.85;
-    /// Strict streams in flight count up to this many times what arrives while one lasts: beyond
-    /// it they are what a busier time has left, and stay where they are. Streams on full engines
-    /// last longer than declared.
-    double m_mostPerArrival = 2;
-    /// Part of its time that an engine for long prompts is meant to read.
-    double m_longUtilization = 0.75;
-    /// The strict part shrinks only to what was needed in this time: bursts come in clumps, and an
-    /// engine that changes sides spoils the streams that it still writes.
-    Duration m_memory = Millis(1'000);
+    /// If the demand of both sides exceeds the pool, strict streams get at least the engines that
+    /// they fill up to this fraction of the slots. Per engine time, a strict stream in time is
+    /// worth about twice as much as a long prompt, and late streams delay those that follow.
+    double m_strictPerOverloadedSlot = 0.85;
+    /// Strict streams in flight count as demand up to this many times the number that arrives in
+    /// the declared duration of one. More than one, as streams last longer than declared on full
+    /// engines. Streams beyond it are left over from a busier time and stay on their engines.
+    double m_maxStreamsPerArrival = 2;
+    /// Target fraction of its time that an engine for long prompts spends on prefills.
+    double m_longPrefillUtilization = 0.75;
+    /// The strict side shrinks no further than to the largest need within this time. Bursts follow
+    /// each other closely, and an engine that changes sides disrupts its remaining streams.
+    Duration m_shrinkDelay = Millis(1'000);
 };
 
-/// Engines that strict streams were given at some moment.
-struct PoolNeed {
+/// Number of engines that strict streams needed at some time.
+struct StrictEngineNeed {
     TimePoint m_at{};
     size_t m_engines = 0;
 };
 
-/// What is known of strict streams beside those in flight.
+/// Demand for strict streams beyond those in flight.
 struct StrictDemand {
-    uint32_t m_waiting = 0; ///< For a slot, at all VMs.
-    uint32_t m_arrivals = 0; ///< Within StrictRateWindow.
-    FloatMillis m_streamTime{ 0 }; ///< That one takes, at least; zero: not declared.
+    uint32_t m_waiting = 0; ///< Requests that wait for a slot, at all VMs.
+    uint32_t m_arrivals = 0; ///< Streams placed within StrictRateWindow.
+    FloatMillis m_streamTime{ 0 }; ///< Minimum duration of one stream; 0: not declared.
     uint32_t m_slots = 16; ///< Of one engine.
-    /// This VM cannot know yet what the others do: it began a moment ago.
+    /// This VM started so recently that it does not know the load of the other VMs yet.
     bool m_blind = false;
 };
 
+/// State of the split of one pool.
 struct PoolSplit {
     PoolSplitSettings m_settings;
-    std::vector<PoolNeed> m_needs; ///< Of the last while, falling.
+    std::vector<StrictEngineNeed> m_recentNeeds; ///< Of the last m_shrinkDelay, in falling order.
 };
 
-/// The engines of @p pool, which is sorted by id, that are for strict streams now.
+/// The engines of @p pool that are assigned to strict streams now. @p pool has to be sorted by id.
 std::unordered_set<EndpointId> strictEngines(PoolSplit &split,
                                              const std::vector<EndpointRecord> &pool,
                                              const EndpointUses &uses, const StrictDemand &strict,
--- a/policy/stream_ledger.h
+++ b/policy/stream_ledger.h
@@ -1,8 +1,8 @@
-/// What all VMs together have in flight at each endpoint, as one VM knows it.
+/// Attempts in flight of all VMs at each endpoint, as far as one VM knows.
 ///
-/// Each VM tells the others of every placement, first event and end. The ledger is a hint: a lost
-/// message makes a choice worse, never wrong, as the endpoint's own refusal decides. Entries whose
-/// end was never heard of expire.
+/// Each VM reports every placement, first event and end to the others. The ledger is only a hint: a
+/// lost message can lead to a less suitable choice, but the endpoint itself refuses what it cannot
+/// take. Entries whose end is not reported expire.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,10 @@
 
 namespace stackquay {
 
-/// Names one attempt in the fleet.
+/// Identifies one attempt in the fleet.
 struct LoadKey {
-    uint64_t m_origin = 0; ///< Random; one process of a VM.
-    uint64_t m_sequence = 0;
+    uint64_t m_origin = 0; ///< Random id of one process of a VM.
+    uint64_t m_sequence = 0; ///< Unique within the process.
 
     bool operator==(const LoadKey &) const = default;
     MSGPACK_DEFINE(m_origin, m_sequence)
@@ -34,46 +34,48 @@
     }
 };
 
-/// The share of one endpoint in an attempt.
+/// The part of an attempt that one endpoint takes.
 struct LoadPart {
     EndpointId m_endpoint;
-    double m_readMs = 0; ///< Predicted, alone on the endpoint; zero for a plain service.
-    uint64_t m_tokens = 0; ///< Memory that the attempt takes there.
+    double m_readMs =
+        0; ///< Predicted prefill time on the otherwise idle endpoint; 0 for a plain service.
+    uint64_t m_tokens = 0; ///< Memory that the attempt uses there.
 
     bool operator==(const LoadPart &) const = default;
     MSGPACK_DEFINE(m_endpoint, m_readMs, m_tokens)
 };
 
-/// One attempt in flight. The first part is the endpoint that answers.
+/// One attempt in flight.
 struct AttemptLoad {
-    std::vector<LoadPart> m_parts;
-    uint32_t m_gapLimitMs = 0; ///< Longest pause that its stream bears; zero: any.
-    bool m_writing = false; ///< Its first event came: nothing is left to read.
+    std::vector<LoadPart> m_parts; ///< The first one is at the endpoint that answers.
+    uint32_t m_gapLimitMs = 0; ///< Longest tolerated gap between events; 0: no limit.
+    bool m_writing = false; ///< Its first event came, so its prefill is complete.
     TimePoint m_placedAt{};
-    TimePoint m_expiresAt{};
+    TimePoint m_expiresAt{}; ///< Dropped then if its end was not reported.
 
+    /// Whether its stream is strict, see isStrictGap().
     bool strict() const;
 };
 
 using AttemptLoads = std::unordered_map<LoadKey, AttemptLoad, LoadKeyHash>;
 
-/// What the ledger sums up for one endpoint.
+/// Load of one endpoint: sums over the ledger.
 struct EndpointUse {
-    uint32_t m_attempts = 0; ///< That it answers, reading or writing.
-    uint32_t m_writers = 0;
-    uint32_t m_strictWriters = 0; ///< Whose streams bear only short pauses.
-    double m_readBacklogMs = 0; ///< Reading still to do, own and for others.
-    double m_longReadMs = 0; ///< Of that, for streams that are not strict.
-    double m_recentLongMs = 0; ///< Such reading placed there within LongReadWindow.
-    uint64_t m_tokens = 0; ///< Memory in use or promised.
-    /// Shortest pause that a stream bears which it answers; zero: no stream has a limit.
-    uint32_t m_tightestGapMs = 0;
+    uint32_t m_attempts = 0; ///< Attempts that it answers, in prefill or decoding.
+    uint32_t m_decodingStreams = 0; ///< Of m_attempts, those with a first event.
+    uint32_t m_strictAttempts = 0; ///< Of m_attempts, those whose streams are strict.
+    double m_readBacklogMs = 0; ///< Prefill left to do, including parts of others' prompts.
+    double m_longPrefillMs = 0; ///< Of that, for streams that are not strict.
+    double m_recentLongPrefillMs = 0; ///< Such prefill placed there within LongPrefillWindow.
+    uint64_t m_tokens = 0; ///< Memory in use or reserved.
+    /// Smallest gap limit of the streams that it answers; 0: no stream has a limit.
+    uint32_t m_minGapLimitMs = 0;
 };
 
-/// What reads now, as the ledger knows it.
-struct ReadingNow {
-    uint32_t m_prompts = 0; ///< Long ones without a first event.
-    double m_readMs = 0; ///< Of all their parts.
+/// Long prompts whose prefill is in progress.
+struct ActivePrefills {
+    uint32_t m_prompts = 0; ///< Prompts without a first event.
+    double m_readMs = 0; ///< Predicted prefill time of all their parts.
 };
 
 using EndpointUses = std::unordered_map<EndpointId, EndpointUse>;
@@ -81,53 +83,57 @@
 class StreamLedger
 {
 public:
-    /// A second time for the same attempt, @p load takes the place of the first; its demand is not
-    /// counted again.
+    /// Adds the attempt @p key. If it is known, @p load replaces the old entry and the demand is
+    /// not counted again.
     void place(const LoadKey &key, AttemptLoad load);
-    /// The first event of @p key came.
+    /// Records that the first event of @p key came.
     void startWriting(const LoadKey &key);
-    /// False if nothing was known of @p key.
+    /// Removes the attempt @p key. Returns false if it was not known.
     bool end(const LoadKey &key);
-    /// Forgets attempts of a VM's process that is gone.
+    /// Removes the attempts of a VM's process that has ended.
     void forgetOrigin(uint64_t origin);
-    /// Forgets the parts of attempts at an endpoint whose process is gone.
+    /// Removes the parts at an endpoint whose process has ended, and the attempts that it answered.
     void forgetEndpoint(const EndpointId &endpoint);
 
-    /// Strict streams placed within StrictRateWindow before @p now.
-    uint32_t recentStrict(TimePoint now);
-    /// Long prompts in all that have no first event yet.
-    ReadingNow readingLong() const;
-    /// Sums at @p now, without expired entries, which are dropped.
+    /// Number of strict streams placed within StrictRateWindow before @p now.
+    uint32_t recentStrictPlacements(TimePoint now);
+    /// Long prompts of all endpoints that have no first event yet.
+    ActivePrefills readingLong() const;
+    /// Load of each endpoint at @p now. Drops expired entries. Endpoints without load are missing.
     EndpointUses uses(TimePoint now);
-    /// All, also those that have expired since the last sums.
+    /// All entries, including those that expired since the last call of uses().
     const AttemptLoads &loads() const { return m_loads; }
+    /// Number of entries in loads().
     size_t size() const { return m_loads.size(); }
 
 private:
-    struct LongRead {
+    struct PlacedPrefill {
         TimePoint m_at{};
         EndpointId m_endpoint;
         double m_readMs = 0;
     };
 
-    void countDemand(const AttemptLoad &load);
+    void recordDemand(const AttemptLoad &load);
 
     AttemptLoads m_loads;
-    std::deque<TimePoint> m_strictPlaced; ///< Of the last window.
-    std::deque<LongRead> m_longReads; ///< Of the last window, by time of placement.
+    std::deque<TimePoint> m_recentStrictPlacements; ///< Within StrictRateWindow, ascending.
+    std::deque<PlacedPrefill>
+        m_recentLongPrefills; ///< Within LongPrefillWindow, by time of placement.
 };
 
-/// A pause of this length or less makes a stream strict: it suffers where long parts are read.
+/// A stream is strict if its gap limit is at most this: a long part that its engine prefills would
+/// make a gap exceed the limit.
 constexpr uint32_t StrictGapMs = 400;
+/// Whether a stream with this gap limit (0: none) is strict.
 constexpr bool isStrictGap(uint32_t gapLimitMs)
 {
     return gapLimitMs > 0 && gapLimitMs <= StrictGapMs;
 }
-/// Over this time the demand of long prompts is measured: some of them arrive in it, and a burst is
-/// seen in part of it.
-constexpr Millis LongReadWindow{ 2'500 };
-/// Over this time the arrivals of strict streams are counted: long enough for some to arrive, short
-/// enough to see a burst at its begin.
+/// Window for the demand of long prompts. It is long enough for several to arrive, and short enough
+/// that a burst shows within a part of it.
+constexpr Millis LongPrefillWindow{ 2'500 };
+/// Window for the arrivals of strict streams. It is long enough for several to arrive, and short
+/// enough to detect a burst at its start.
 constexpr Millis StrictRateWindow{ 400 };
 
 } // namespace stackquay
--- a/policy/turn_plan.cpp
+++ b/policy/turn_plan.cpp
@@ -6,45 +6,46 @@
 
 namespace {
 
-bool canPlanInTime(const TurnSettings &settings, const ModelRequest &request,
-                   const WaitingTurn &turn, const GangPlan &plan, TimePoint now)
+bool meetsTarget(const TurnSettings &settings, const ModelRequest &request, const WaitingTurn &turn,
+                 const GangPlan &plan, TimePoint now)
 {
-    // A strict stream waits for a slot alone, and a repeat for nothing more.
+    // A strict stream waits only for a slot, and a retry is sent even if it will be late.
     return request.strict() || request.m_repeat
            || isInTime(turn, plan.m_firstEvent * settings.m_predictionMargin, now);
 }
 
-TurnLook planInTurn(const TurnSettings &settings, const ModelRequest &request,
+TurnLook planIfNext(const TurnSettings &settings, const ModelRequest &request,
                     const WaitingTurn &turn, bool next, const GangPlanner &plan, TimePoint now)
 {
     if (!next)
-        return { std::nullopt, TurnObstacle::OthersFirst };
+        return { std::nullopt, TurnObstacle::BehindOthers };
     auto planned = plan(StreamCare::Spare);
     if (!planned)
-        return { std::nullopt, TurnObstacle::NoneBearsIt };
-    if (!canPlanInTime(settings, request, turn, *planned, now))
-        return { std::nullopt, TurnObstacle::AllBusy };
+        return { std::nullopt, TurnObstacle::NoEligibleEngines };
+    if (!meetsTarget(settings, request, turn, *planned, now))
+        return { std::nullopt, TurnObstacle::EnginesBusy };
     return { std::move(planned) };
 }
 
-/// A plan for one that would be late otherwise, if it spoils few streams.
-std::optional<GangPlan> lastPlan(const TurnSettings &settings, const EngineCosts &costs,
-                                 const ModelRequest &request, const WaitingTurn &turn,
-                                 const GangPlanner &plan, TimePoint now)
+/// A plan for a request that would otherwise be late, if it disrupts few streams.
+std::optional<GangPlan> disruptivePlan(const TurnSettings &settings, const EngineCosts &costs,
+                                       const ModelRequest &request, const WaitingTurn &turn,
+                                       const GangPlanner &plan, TimePoint now)
 {
     if (request.strict())
         return std::nullopt;
-    auto planned = plan(StreamCare::Spoil);
-    const bool dear = planned && planned->m_spoilt > settings.m_spoilShare * costs.m_slots;
-    if (!planned || dear || !isInTime(turn, planned->m_firstEvent, now))
+    auto planned = plan(StreamCare::AllowDisruption);
+    const bool costly = planned && planned->m_spoilt > settings.m_maxDisruptedShare * costs.m_slots;
+    if (!planned || costly || !isInTime(turn, planned->m_firstEvent, now))
         return std::nullopt;
     return planned;
 }
 
-/// Whether it has waited long enough to know that it cannot be answered as wanted.
-bool mustEnd(const ModelRequest &request, const WaitingTurn &turn, TimePoint now)
+/// Whether the request has to be started by disruption or refused, because waiting longer would
+/// miss its latency target.
+bool cannotWaitLonger(const ModelRequest &request, const WaitingTurn &turn, TimePoint now)
 {
-    // A repeat is late as a rule; it has its patience.
+    // A retry usually misses its latency target, so only the caller's patience limits it.
     return request.m_repeat ? now >= turn.m_expiresAt : isTooLate(turn, now);
 }
 
@@ -54,8 +55,8 @@
                           const ModelRequest &request, size_t engines)
 {
     if (request.strict())
-        return readTime(costs, request.m_promptTokens) + settings.m_strictNeed;
-    return neededToRead(settings, costs, request.m_promptTokens, engines);
+        return prefillDuration(costs, request.m_promptTokens) + settings.m_strictFirstEventTime;
+    return longPromptFirstEvent(settings, costs, request.m_promptTokens, engines);
 }
 
 WaitingTurn turnOf(const TurnSettings &settings, const EngineCosts &costs,
@@ -72,17 +73,18 @@
     turn.m_expiresAt =
         request.m_arrival
         + std::min(part(request.m_patience, settings.m_patienceShare),
-                   part(request.m_deadline - request.m_arrival, settings.m_timeShare));
+                   part(request.m_deadline - request.m_arrival, settings.m_deadlineShare));
     if (request.strict())
         return turn;
-    // All sizes are refused after the same wait: the small ones before they must, and the large
-    // ones after they could be in time.
-    const Duration wait = part(request.m_aim, settings.m_waitShare);
+    // Prompts of all sizes are refused after the same wait: small ones while they could still be
+    // in time, large ones when they no longer can.
+    const Duration wait = part(request.m_aim, settings.m_maxWaitShare);
     const Duration past = std::max(wait + needed - request.m_aim, Duration::zero());
-    const Duration reading = part(toBegin - settings.m_readOverhead, settings.m_readingShare);
+    const Duration reading =
+        part(toBegin - settings.m_prefillOverhead, settings.m_prefillLeadShare);
     turn.m_aimAt += past;
     turn.m_needed = std::max(needed, request.m_aim - wait);
-    // The order goes by the route's aim and the reading.
+    // The order in the queue depends on the latency target of the route and the prefill time.
     turn.m_lead = past + std::max(reading, Duration::zero());
     return turn;
 }
@@ -92,7 +94,7 @@
 {
     StrictDemand demand;
     demand.m_waiting = static_cast<uint32_t>(queue.size());
-    demand.m_arrivals = ledger.recentStrict(now);
+    demand.m_arrivals = ledger.recentStrictPlacements(now);
     demand.m_streamTime = costs.m_step * static_cast<double>(costs.m_usualAnswerTokens);
     demand.m_slots = costs.m_slots;
     return demand;
@@ -100,7 +102,7 @@
 
 SideLoad sideLoadOf(const EngineCosts &costs, const std::vector<EndpointRecord> &pool,
                     const std::unordered_set<EndpointId> &strictSide, const EndpointUses &uses,
-                    const ReadingNow &reading, bool strict)
+                    const ActivePrefills &reading, bool strict)
 {
     SideLoad load;
     load.m_reading = reading;
@@ -109,25 +111,25 @@
     load.m_slots = static_cast<uint32_t>(load.m_engines) * costs.m_slots;
     for (const EndpointRecord &endpoint : pool) {
         const auto use = uses.find(endpoint.m_id);
-        // Those on other engines take no slot of this side.
+        // Strict streams that run on engines of the other side take no slot of this one.
         if (use != uses.end() && strictSide.count(endpoint.m_id) > 0)
-            load.m_strictStreams += use->second.m_strictWriters;
+            load.m_strictStreams += use->second.m_strictAttempts;
     }
     return load;
 }
 
 uint32_t roomOf(const TurnSettings &settings, const SideLoad &load, bool strict)
 {
-    return strict ? roomToWrite(settings, load) : roomToRead(settings, load);
+    return strict ? strictStreamsAllowed(settings, load) : prefillsAllowed(settings, load);
 }
 
 bool isNext(const TurnSettings &settings, const EngineCosts &costs, const ModelRequest &request,
             TurnQueue &queue, const LoadKey &key, const SideLoad &load, TimePoint now)
 {
     const bool strict = request.strict();
-    if (!strict && readsLittle(settings, costs, load, request.m_promptTokens))
+    if (!strict && isCheapPrefill(settings, costs, load, request.m_promptTokens))
         return true;
-    return mayBegin(queue, key, roomOf(settings, load, strict), now);
+    return mayStartNow(queue, key, roomOf(settings, load, strict), now);
 }
 
 GangSides divide(const std::vector<EndpointRecord> &pool,
@@ -148,8 +150,8 @@
     question.m_promptTokens = request.m_promptTokens;
     question.m_answerTokens = static_cast<double>(costs.m_usualAnswerTokens);
     question.m_gapLimitMs = request.m_gapLimitMs;
-    question.m_within = request.m_arrival + request.m_aim - now;
-    question.m_care = care;
+    question.m_timeLeft = request.m_arrival + request.m_aim - now;
+    question.m_disruption = care;
     return question;
 }
 
@@ -158,11 +160,11 @@
     switch (obstacle) {
     case TurnObstacle::None:
         return "";
-    case TurnObstacle::OthersFirst:
+    case TurnObstacle::BehindOthers:
         return "too late: others came first";
-    case TurnObstacle::NoneBearsIt:
+    case TurnObstacle::NoEligibleEngines:
         return "too late: the streams of the endpoints bear no more";
-    case TurnObstacle::AllBusy:
+    case TurnObstacle::EnginesBusy:
         return "too late: the endpoints have too much to read";
     }
     return "";
@@ -172,10 +174,10 @@
                      const ModelRequest &request, const WaitingTurn &turn, bool next,
                      TurnObstacle before, const GangPlanner &plan, TimePoint now)
 {
-    TurnLook look = planInTurn(settings, request, turn, next, plan, now);
-    if (look.m_plan || !mustEnd(request, turn, now))
+    TurnLook look = planIfNext(settings, request, turn, next, plan, now);
+    if (look.m_plan || !cannotWaitLonger(request, turn, now))
         return look;
-    look.m_plan = lastPlan(settings, costs, request, turn, plan, now);
+    look.m_plan = disruptivePlan(settings, costs, request, turn, plan, now);
     look.m_tooLate = !look.m_plan;
     if (look.m_tooLate && before != TurnObstacle::None)
         look.m_obstacle = before;
--- a/policy/turn_plan.h
+++ b/policy/turn_plan.h
@@ -1,7 +1,8 @@
-/// When a model request that waits may begin, and on which engines.
+/// Decides when a waiting model request may start, and on which engines.
 ///
-/// The order of those that wait is in policy/turn_queue, the choice of engines in policy/gang_plan;
-/// this joins them: what a request asks of both, and what one look of it leads to.
+/// policy/turn_queue keeps the order of the waiting requests and policy/gang_plan chooses the
+/// engines. This module derives the inputs of both from a request, and makes the decision each time
+/// that the request polls.
 #pragma once
 
 #include <functional>
@@ -15,67 +16,77 @@
 
 namespace stackquay {
 
+/// What the scheduling of a model request depends on.
 struct ModelRequest {
     double m_promptTokens = 0;
-    uint32_t m_gapLimitMs = 0; ///< Longest pause that its stream bears; zero: any.
-    Duration m_aim{}; ///< From the arrival to the first event, as wanted.
-    Duration m_patience{}; ///< How long its caller bears silence.
+    uint32_t m_gapLimitMs = 0; ///< Longest tolerated gap between events; 0: no limit.
+    Duration m_aim{}; ///< Latency target: from the arrival to the first event.
+    Duration m_patience{}; ///< Silence after which its caller gives up.
     TimePoint m_arrival{};
     TimePoint m_deadline{};
-    bool m_repeat = false; ///< An endpoint had it before.
+    bool m_repeat = false; ///< A retry: it was sent to an endpoint before.
 
+    /// Whether its stream is strict, see isStrictGap().
     bool strict() const { return isStrictGap(m_gapLimitMs); }
 };
 
-/// From the beginning of an attempt to its first event, at least, on a pool of @p engines.
+/// Minimum time from the start of an attempt to its first event, on a pool of @p engines.
 FloatMillis neededToBegin(const TurnSettings &settings, const EngineCosts &costs,
                           const ModelRequest &request, size_t engines);
 
-/// How @p request waits for its turn.
+/// The queue entry of @p request, on a pool of @p engines.
 WaitingTurn turnOf(const TurnSettings &settings, const EngineCosts &costs,
                    const ModelRequest &request, size_t engines);
 
-/// What is known of strict streams, of which those in @p queue wait.
+/// Demand for strict streams: those that wait in @p queue, and the recent arrivals in @p ledger.
 StrictDemand strictDemandOf(const EngineCosts &costs, const TurnQueue &queue, StreamLedger &ledger,
                             TimePoint now);
 
-/// What the engines of @p pool for strict streams, or the others, have to do.
+/// Load of one side of @p pool: of the engines in @p strictSide if @p strict, else of the others.
+/// Leaves m_longestAim to the caller.
 SideLoad sideLoadOf(const EngineCosts &costs, const std::vector<EndpointRecord> &pool,
                     const std::unordered_set<EndpointId> &strictSide, const EndpointUses &uses,
-                    const ReadingNow &reading, bool strict);
-/// How many more requests of a side may begin.
+                    const ActivePrefills &reading, bool strict);
+/// Number of further requests of a side that may start now.
 uint32_t roomOf(const TurnSettings &settings, const SideLoad &load, bool strict);
-/// Whether the order of those that wait in @p queue lets @p request begin.
+/// Whether @p request, which waits in @p queue as @p key, may start by the order of the queue.
+/// Drops expired requests from @p queue.
 bool isNext(const TurnSettings &settings, const EngineCosts &costs, const ModelRequest &request,
             TurnQueue &queue, const LoadKey &key, const SideLoad &load, TimePoint now);
 
-/// @p pool divided into those for strict streams or for the others, and the rest.
+/// Splits @p pool into the engines of the request's own side and the others. @p strict is whether
+/// the request has a strict stream.
 GangSides divide(const std::vector<EndpointRecord> &pool,
                  const std::unordered_set<EndpointId> &strictSide, bool strict);
 
+/// The inputs of planGang() for @p request, without m_rooms.
 GangQuestion questionOf(const EngineCosts &costs, const ModelRequest &request, StreamCare care,
                         TimePoint now);
 
-/// What stands in the way of a request.
+/// Why a request does not start yet.
 enum class TurnObstacle {
     None,
-    OthersFirst,
-    NoneBearsIt, ///< No set of engines whose streams bear its reading has the memory.
-    AllBusy, ///< The engines have so much to read that it would be late.
+    BehindOthers, ///< Others precede it in the queue.
+    /// No set of engines has the memory, among those whose streams tolerate its prefill.
+    NoEligibleEngines,
+    EnginesBusy, ///< The prefill backlog of the engines would make it late.
 };
+/// The message of a refusal for this reason; empty for None.
 std::string_view turnObstacleName(TurnObstacle obstacle);
 
+/// Result of one decision about a waiting request.
 struct TurnLook {
-    std::optional<GangPlan> m_plan; ///< It begins now, with this.
-    TurnObstacle m_obstacle = TurnObstacle::None;
-    bool m_tooLate = false; ///< Without a plan: it is refused, as it could only be late.
+    std::optional<GangPlan> m_plan; ///< Set: the request starts now.
+    TurnObstacle m_obstacle = TurnObstacle::None; ///< Without a plan: why it waits or is refused.
+    bool m_tooLate = false; ///< Without a plan: it has to be refused.
 };
 
-/// Asks for a plan on the engines of the moment.
+/// Plans the request on the engines as they are now; no value if that is impossible.
 using GangPlanner = std::function<std::optional<GangPlan>(StreamCare)>;
 
-/// One look of @p request; @p next is whether it is its turn, as isNext(). A refusal names @p
-/// before, what stood in its way at the look before: once it is too late, all others go first.
+/// Decides whether @p request starts, keeps waiting, or is refused. @p next is the result of
+/// isNext(), @p before the obstacle at the previous decision. A refusal names @p before, because a
+/// request that is too late moves behind all others and would always report BehindOthers.
 TurnLook lookForTurn(const TurnSettings &settings, const EngineCosts &costs,
                      const ModelRequest &request, const WaitingTurn &turn, bool next,
                      TurnObstacle before, const GangPlanner &plan, TimePoint now);
--- a/policy/turn_queue.cpp
+++ b/policy/turn_queue.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-/// Sorts those that can still meet their aim by their latest begin, and the others behind them.
+/// Sort key: requests that can still meet their latency target by their latest start, then the
+/// rest.
 auto rankOf(const LoadKey &key, const WaitingTurn &turn, TimePoint now)
 {
     const TimePoint order = turn.m_aimAt - turn.m_lead;
     return std::make_tuple(isTooLate(turn, now), order, key.m_origin, key.m_sequence);
 }
 
-FloatMillis backlogOfEach(const SideLoad &load)
+FloatMillis backlogPerEngine(const SideLoad &load)
 {
     return FloatMillis(load.m_reading.m_readMs) / static_cast<double>(load.m_engines);
 }
 
-/// Up to which more may begin.
-FloatMillis backlogBound(const TurnSettings &settings, const SideLoad &load)
+/// Backlog of an engine below which further prompts may start.
+FloatMillis maxBacklogPerEngine(const TurnSettings &settings, const SideLoad &load)
 {
-    return load.m_longestAim * settings.m_backlogShare;
+    return load.m_longestAim * settings.m_maxBacklogShare;
 }
 
 } // namespace
@@ -42,7 +43,7 @@
     return ahead;
 }
 
-bool mayBegin(TurnQueue &queue, const LoadKey &key, uint32_t room, TimePoint now)
+bool mayStartNow(TurnQueue &queue, const LoadKey &key, uint32_t room, TimePoint now)
 {
     std::erase_if(queue, [&](const auto &entry) {
         return entry.second.m_expiresAt <= now && !(entry.first == key);
@@ -60,30 +61,31 @@
     return now + turn.m_needed > turn.m_aimAt;
 }
 
-FloatMillis neededToRead(const TurnSettings &settings, const EngineCosts &costs, double tokens,
-                         size_t engines)
+FloatMillis longPromptFirstEvent(const TurnSettings &settings, const EngineCosts &costs,
+                                 double tokens, size_t engines)
 {
-    const size_t readers = std::clamp<size_t>(engines, 1, settings.m_mostReaders);
-    return readTime(costs, tokens) / static_cast<double>(readers) + settings.m_readOverhead;
+    const size_t readers = std::clamp<size_t>(engines, 1, settings.m_maxPrefillEngines);
+    return prefillDuration(costs, tokens) / static_cast<double>(readers)
+           + settings.m_prefillOverhead;
 }
 
-bool readsLittle(const TurnSettings &settings, const EngineCosts &costs, const SideLoad &load,
-                 double tokens)
+bool isCheapPrefill(const TurnSettings &settings, const EngineCosts &costs, const SideLoad &load,
+                    double tokens)
 {
-    const FloatMillis most = backlogBound(settings, load) * settings.m_littleBacklogs;
-    return readTime(costs, tokens) < most && backlogOfEach(load) < most;
+    const FloatMillis most = maxBacklogPerEngine(settings, load) * settings.m_cheapPrefillBacklogs;
+    return prefillDuration(costs, tokens) < most && backlogPerEngine(load) < most;
 }
 
-uint32_t roomToRead(const TurnSettings &settings, const SideLoad &load)
+uint32_t prefillsAllowed(const TurnSettings &settings, const SideLoad &load)
 {
     if (load.m_reading.m_prompts < settings.m_leastReading)
         return settings.m_leastReading - load.m_reading.m_prompts;
-    return backlogOfEach(load) < backlogBound(settings, load) ? 1 : 0;
+    return backlogPerEngine(load) < maxBacklogPerEngine(settings, load) ? 1 : 0;
 }
 
-uint32_t roomToWrite(const TurnSettings &settings, const SideLoad &load)
+uint32_t strictStreamsAllowed(const TurnSettings &settings, const SideLoad &load)
 {
-    const double most = std::ceil(settings.m_slotShare * load.m_slots);
+    const double most = std::ceil(settings.m_maxStrictSlotShare * load.m_slots);
     return static_cast<uint32_t>(std::max(most - load.m_strictStreams, 0.0));
 }
 
--- a/policy/turn_queue.h
+++ b/policy/turn_queue.h
@@ -1,15 +1,17 @@
-/// Who may begin next, over all VMs, while engines have enough to do.
+/// Order in which waiting model requests of all VMs start, and how many may start now.
 ///
-/// Engines share their reading among all prompts that they have, and a stream beyond their slots
-/// waits for a slot: what begins too early makes all end late. So requests wait at their VMs. All
-/// VMs know who waits, from the same messages as the ledger, and come to about the same order: who
-/// has to begin first goes first, and those that can no longer meet their aim after all others.
-/// What can no longer be answered in time however it begins is refused at once, so that engines
-/// read what is still wanted; a lost message lets one request more begin.
+/// Engines share their prefill capacity among all prompts that they have, and a stream beyond their
+/// slots waits for a slot, so requests that start too early make all of them finish late. Requests
+/// therefore wait at their VMs. All VMs receive the same messages about waiting requests as for the
+/// stream ledger and compute nearly the same order: by the latest start time, and requests that can
+/// no longer meet their latency target after all others. A request that cannot be answered in time
+/// even if it starts now is refused at once, so that engines do not prefill what comes too late
+/// anyway. A lost message lets one additional request start.
 ///
-/// Under overload somebody is refused, and the order and the time that each may wait decide who.
-/// Both go by the same moment, the latest begin, and no size of a route waits for less than
-/// another: with the aim as order, all refusals fell on the prompts that take longest to read.
+/// Under overload some requests are refused; which ones follows from the order and from the time
+/// that each may wait. Both derive from the latest start time, and no prompt size of a route may
+/// wait for less time than another. With the latency target as the order, all refusals would fall
+/// on the prompts that take longest to prefill.
 #pragma once
 
 #include <unordered_map>
@@ -19,89 +21,97 @@
 
 namespace stackquay {
 
+/// A waiting request, as all VMs see it.
 struct WaitingTurn {
-    TimePoint m_aimAt{}; ///< When the first event is wanted.
-    Duration m_needed{}; ///< From the beginning to the first event, at least.
-    TimePoint m_expiresAt{}; ///< Not heard of after this, it is forgotten.
-    Duration m_lead{}; ///< So much earlier than m_aimAt is its turn.
+    TimePoint m_aimAt{}; ///< Latest time of a first event that is in time.
+    Duration m_needed{}; ///< Minimum time from the start to the first event.
+    TimePoint m_expiresAt{}; ///< Dropped from the queue then if its end was not reported.
+    Duration m_lead{}; ///< The queue is ordered by m_aimAt minus this.
 };
 
 using TurnQueue = std::unordered_map<LoadKey, WaitingTurn, LoadKeyHash>;
 
-/// How many of @p queue go before @p key; nobody, if it does not wait there.
+/// Number of requests in @p queue that start before @p key; 0 if @p key is not in the queue.
 uint32_t aheadOf(const TurnQueue &queue, const LoadKey &key, TimePoint now);
 
-/// Whether @p key is among the first @p room of @p queue. True if it does not wait there.
+/// Whether @p key is among the first @p room requests of @p queue, or not in it. Drops expired
+/// requests of others.
 ///
-/// All that find room begin at once: if each had to see the one before it leave, a queue would
-/// move no faster than VMs look and hear of each other.
-bool mayBegin(TurnQueue &queue, const LoadKey &key, uint32_t room, TimePoint now);
+/// All requests within @p room may start at once. If each had to wait until the one before it has
+/// left, the queue would advance only as fast as VMs poll it and exchange messages.
+bool mayStartNow(TurnQueue &queue, const LoadKey &key, uint32_t room, TimePoint now);
 
-/// Whether a first event that comes after @p firstEvent is in time.
+/// Whether a first event that comes @p firstEvent after @p now meets the latency target.
 bool isInTime(const WaitingTurn &turn, FloatMillis firstEvent, TimePoint now);
 
-/// Whether it would be late even if it began now: to be refused, not run, so that engines read what
-/// can still be in time.
+/// Whether the first event would be late even if the request started now.
 bool isTooLate(const WaitingTurn &turn, TimePoint now);
 
+/// A long prompt here is the prompt of any stream that is not strict, see isStrictGap().
 struct TurnSettings {
-    /// Long prompts that may read at any load: the next one's parts fill the gap between the last
-    /// part's end and the news of it.
+    /// Long prompts that may be in prefill at any load. The parts of the next prompt keep engines
+    /// busy between the end of a part and the report of it.
     uint32_t m_leastReading = 4;
-    /// More may begin while an engine of their side has less than this part of the longest aim to
-    /// read, counting parts whole until the first event: less leaves engines idle, and much more
-    /// makes late what begins at the end of its wait.
-    double m_backlogShare = 0.25;
-    /// A prompt that has waited finds a full backlog, and engines share their reading among all
-    /// prompts: that and one and a half passes come on top of its own reading.
-    FloatMillis m_readOverhead{ 700 };
-    size_t m_mostReaders = 17; ///< Engines that read one prompt: the first and its helpers.
-    /// Part of the slots of their side that strict streams fill.
-    double m_slotShare = 0.95;
-    /// A strict stream's first event takes one and a half passes of full engines.
-    FloatMillis m_strictNeed{ 130 };
-    /// A prompt that waited begins if this many times its prediction is in time: what begins after
-    /// it is read beside it.
+    /// More long prompts may start while the prefill backlog per engine of their side is below this
+    /// fraction of the longest latency target. A part counts in full until the first event. A lower
+    /// limit leaves engines idle; a much higher one makes prompts late that start at the end of
+    /// their wait.
+    double m_maxBacklogShare = 0.25;
+    /// Added to the prefill time of a prompt that has waited: one and a half passes, and the full
+    /// backlog, as engines share their prefill capacity among all prompts.
+    FloatMillis m_prefillOverhead{ 700 };
+    size_t m_maxPrefillEngines = 17; ///< For one prompt: the answering engine and its helpers.
+    /// Fraction of the slots of their side that strict streams may fill.
+    double m_maxStrictSlotShare = 0.95;
+    /// Time to a strict stream's first event beyond its prefill: one and a half passes of a full
+    /// engine.
+    FloatMillis m_strictFirstEventTime{ 130 };
+    /// Factor on the predicted time to the first event of a prompt that has waited, because prompts
+    /// that start after it are prefilled concurrently.
     double m_predictionMargin = 1.3;
-    /// A prompt that would be late may spoil streams up to this part of the slots of one engine:
-    /// spoilt streams end late, and crowd out others.
-    double m_spoilShare = 0.25;
-    /// A long prompt may wait for this part of its aim, whatever its size; what then needs longer
-    /// than the rest of it may be late. More makes late what small prompts would have in time.
-    double m_waitShare = 0.5;
-    /// A prompt's turn comes by this part of its reading earlier than its aim says: with less,
-    /// those that read long find their engines busy at the end of their wait; with all of it, they
-    /// crowd out the others of their kind, of which engines read five in the time of one.
-    double m_readingShare = 0.75;
-    /// A prompt that one engine reads alone within so many times its backlog needs no room of its
-    /// own, unless engines have as much to read: it delays few, and would wait behind prompts that
-    /// read a hundred times as long.
-    double m_littleBacklogs = 2;
-    /// Clients leave a silent stream; a repeat waits for this part of that time.
+    /// A prompt that would otherwise be late may disrupt streams (let them exceed their gap limits)
+    /// up to this fraction of one engine's slots. Disrupted streams end late and take slots from
+    /// others.
+    double m_maxDisruptedShare = 0.25;
+    /// Fraction of its latency target that a long prompt of any size may wait. A prompt that needs
+    /// longer than the remaining time may be late. A larger fraction makes small prompts late that
+    /// would have been in time.
+    double m_maxWaitShare = 0.5;
+    /// Fraction of its prefill time by which a prompt's place in the order is advanced. With less,
+    /// prompts with a long prefill find their engines busy at the end of their wait; with all of
+    /// it, they displace other prompts of their route, of which engines prefill five in the time of
+    /// one.
+    double m_prefillLeadShare = 0.75;
+    /// A prompt that a single engine prefills within this many times the maximum backlog starts
+    /// without waiting, unless the backlog of the engines is that long, too. It delays few others,
+    /// and would have to wait behind prompts whose prefill takes a hundred times as long.
+    double m_cheapPrefillBacklogs = 2;
+    /// A retry waits at most this fraction of the time after which clients leave a silent stream,
     double m_patienceShare = 0.55;
-    /// And for this part of the time that the request has.
-    double m_timeShare = 0.4;
+    /// and at most this fraction of the time from its arrival to its deadline.
+    double m_deadlineShare = 0.4;
 };
 
-/// What one side of a pool has to do now.
+/// Current load of one side of a pool: the engines of strict streams, or those of long prompts.
 struct SideLoad {
-    Duration m_longestAim{}; ///< Of the routes that share the pool.
-    uint32_t m_strictStreams = 0; ///< On the engines for them.
-    uint32_t m_slots = 0; ///< Of its engines together.
-    size_t m_engines = 1;
-    ReadingNow m_reading;
+    Duration m_longestAim{}; ///< Longest latency target of the routes that share the pool.
+    uint32_t m_strictStreams = 0; ///< On the engines that are assigned to strict streams.
+    uint32_t m_slots = 0; ///< Of all engines of the side.
+    size_t m_engines = 1; ///< At least one.
+    ActivePrefills m_reading; ///< Long prompts of the whole pool.
 };
 
-/// From the beginning to the first event, for a long prompt that had to wait. A lower figure lets
-/// those begin first that will just miss their aim.
-FloatMillis neededToRead(const TurnSettings &settings, const EngineCosts &costs, double tokens,
-                         size_t engines);
-/// Whether a long prompt is so short that it needs no room.
-bool readsLittle(const TurnSettings &settings, const EngineCosts &costs, const SideLoad &load,
-                 double tokens);
-/// How many more long prompts may begin to read.
-uint32_t roomToRead(const TurnSettings &settings, const SideLoad &load);
-/// How many more strict streams find a slot.
-uint32_t roomToWrite(const TurnSettings &settings, const SideLoad &load);
+/// Expected time from the start to the first event, for a long prompt of @p tokens that had to wait
+/// in a pool of @p engines. An underestimate would let prompts start that just miss their latency
+/// target.
+FloatMillis longPromptFirstEvent(const TurnSettings &settings, const EngineCosts &costs,
+                                 double tokens, size_t engines);
+/// Whether a long prompt is short enough to start without waiting for its place in the order.
+bool isCheapPrefill(const TurnSettings &settings, const EngineCosts &costs, const SideLoad &load,
+                    double tokens);
+/// Number of further long prompts that may start now.
+uint32_t prefillsAllowed(const TurnSettings &settings, const SideLoad &load);
+/// Number of further strict streams that may start now, as slots are free.
+uint32_t strictStreamsAllowed(const TurnSettings &settings, const SideLoad &load);
 
 } // namespace stackquay
--- a/tests/policy/gang_plan_test.cpp
+++ b/tests/policy/gang_plan_test.cpp
@@ -10,7 +10,7 @@
 
 const TimePoint Start = TimePoint{} + Seconds(1'000);
 
-EngineCosts usersCosts()
+EngineCosts declaredEngineCosts()
 {
     return declaredCosts(16, 43);
 }
@@ -43,7 +43,7 @@
     question.m_promptTokens = tokens;
     question.m_answerTokens = 1'300;
     question.m_gapLimitMs = 250;
-    question.m_within = FloatMillis(300);
+    question.m_timeLeft = FloatMillis(300);
     return question;
 }
 
@@ -51,19 +51,19 @@
 {
     GangQuestion question = strictQuestion(tokens);
     question.m_gapLimitMs = 1'000;
-    question.m_within = FloatMillis(2'500);
+    question.m_timeLeft = FloatMillis(2'500);
     return question;
 }
 
-TEST(EngineCostsTest, FollowTheDeclaredArithmetic)
+TEST(EngineCostsTest, FollowTheDeclaredCosts)
 {
-    const EngineCosts costs = usersCosts();
-    EXPECT_NEAR(readTime(costs, 4'960).count(), 24.08 + 1.70, 0.1);
-    EXPECT_NEAR(readTime(costs, 133'000).count(), 645.6 + 1'220.5, 1);
+    const EngineCosts costs = declaredEngineCosts();
+    EXPECT_NEAR(prefillDuration(costs, 4'960).count(), 24.08 + 1.70, 0.1);
+    EXPECT_NEAR(prefillDuration(costs, 133'000).count(), 645.6 + 1'220.5, 1);
     EXPECT_NEAR(passTime(costs, 10, 55'000).count(), 43 * (1.02 + 0.0226 + 0.237), 0.1);
 }
 
-TEST(StreamLedgerTest, SumsPartsAndForgetsWhatEnded)
+TEST(StreamLedgerTest, SumsPartsAndRemovesEndedAttempts)
 {
     StreamLedger ledger;
     const auto pool = engines(0, 2);
@@ -71,10 +71,10 @@
     ledger.place({ 1, 2 }, load({ part(pool[0], 20, 3'000) }, 250));
     EndpointUses uses = ledger.uses(Start);
     EXPECT_EQ(uses[pool[0].m_id].m_attempts, 2u);
-    EXPECT_EQ(uses[pool[0].m_id].m_strictWriters, 1u);
+    EXPECT_EQ(uses[pool[0].m_id].m_strictAttempts, 1u);
     EXPECT_EQ(uses[pool[0].m_id].m_tokens, 8'000u);
     EXPECT_DOUBLE_EQ(uses[pool[0].m_id].m_readBacklogMs, 120);
-    EXPECT_DOUBLE_EQ(uses[pool[0].m_id].m_longReadMs, 100);
+    EXPECT_DOUBLE_EQ(uses[pool[0].m_id].m_longPrefillMs, 100);
     EXPECT_EQ(uses[pool[1].m_id].m_attempts, 0u);
     EXPECT_DOUBLE_EQ(uses[pool[1].m_id].m_readBacklogMs, 100);
     EXPECT_EQ(ledger.readingLong().m_prompts, 1u);
@@ -83,13 +83,13 @@
     EXPECT_EQ(ledger.readingLong().m_prompts, 0u);
     uses = ledger.uses(Start);
     EXPECT_DOUBLE_EQ(uses[pool[1].m_id].m_readBacklogMs, 0);
-    EXPECT_EQ(uses[pool[0].m_id].m_writers, 1u);
+    EXPECT_EQ(uses[pool[0].m_id].m_decodingStreams, 1u);
     ledger.end({ 1, 1 });
     ledger.forgetOrigin(1);
     EXPECT_EQ(ledger.size(), 0u);
 }
 
-TEST(StreamLedgerTest, EntriesWhoseEndIsNotHeardOfExpire)
+TEST(StreamLedgerTest, EntriesWithoutReportedEndExpire)
 {
     StreamLedger ledger;
     const auto pool = engines(0, 1);
@@ -98,7 +98,7 @@
     EXPECT_EQ(ledger.size(), 0u);
 }
 
-TEST(StreamLedgerTest, PlacementsToldLaterCountWhereTheyBelong)
+TEST(StreamLedgerTest, LatePlacementReportsCountAtTheirTime)
 {
     StreamLedger ledger;
     const auto pool = engines(0, 1);
@@ -109,16 +109,16 @@
     const TimePoint now = Start + Seconds(3);
     ledger.place({ 1, 1 }, placedAt(load({ part(pool[0], 100) }, 1'000), now));
     ledger.place({ 2, 1 }, placedAt(load({ part(pool[0], 30) }, 1'000), now - Millis(1'000)));
-    ledger.place({ 2, 2 }, placedAt(load({ part(pool[0], 7) }, 1'000), now - LongReadWindow));
+    ledger.place({ 2, 2 }, placedAt(load({ part(pool[0], 7) }, 1'000), now - LongPrefillWindow));
     ledger.place({ 2, 3 }, placedAt(load({ part(pool[0], 10) }, 250), now - StrictRateWindow));
     ledger.place({ 2, 4 }, placedAt(load({ part(pool[0], 10) }, 250), now - Millis(100)));
-    EXPECT_DOUBLE_EQ(ledger.uses(now)[pool[0].m_id].m_recentLongMs, 130);
-    EXPECT_EQ(ledger.recentStrict(now), 1u);
-    const TimePoint later = now - Millis(1'000) + LongReadWindow;
-    EXPECT_DOUBLE_EQ(ledger.uses(later)[pool[0].m_id].m_recentLongMs, 100);
+    EXPECT_DOUBLE_EQ(ledger.uses(now)[pool[0].m_id].m_recentLongPrefillMs, 130);
+    EXPECT_EQ(ledger.recentStrictPlacements(now), 1u);
+    const TimePoint later = now - Millis(1'000) + LongPrefillWindow;
+    EXPECT_DOUBLE_EQ(ledger.uses(later)[pool[0].m_id].m_recentLongPrefillMs, 100);
 }
 
-TEST(StreamLedgerTest, PlacementToldTwiceIsCountedOnce)
+TEST(StreamLedgerTest, DuplicatePlacementReportsCountOnce)
 {
     StreamLedger ledger;
     const auto pool = engines(0, 1);
@@ -127,18 +127,18 @@
         ledger.place({ 1, 2 }, load({ part(pool[0], 20) }, 250));
     }
     EXPECT_EQ(ledger.size(), 2u);
-    EXPECT_DOUBLE_EQ(ledger.uses(Start)[pool[0].m_id].m_recentLongMs, 100);
-    EXPECT_EQ(ledger.recentStrict(Start), 1u);
+    EXPECT_DOUBLE_EQ(ledger.uses(Start)[pool[0].m_id].m_recentLongPrefillMs, 100);
+    EXPECT_EQ(ledger.recentStrictPlacements(Start), 1u);
 }
 
-// As if idle time were work done, an engine that had read its part of a prompt, and got another
-// later, seemed to have nothing left to read: first events of long prompts came 1 s after their
-// prediction.
-TEST(StreamLedgerTest, TimeWithNothingToReadIsNoWorkDone)
+// If idle time counted as work done, an engine that had finished its part of an unfinished prompt
+// would show no backlog after a later placement. First events of long prompts then came 1 s after
+// their prediction.
+TEST(StreamLedgerTest, IdleTimeDoesNotReduceTheBacklog)
 {
     StreamLedger ledger;
     const auto pool = engines(0, 2);
-    // The second engine still reads its part, so that the prompt has no first event.
+    // The second engine still prefills its part, so the prompt has no first event.
     ledger.place({ 1, 1 }, load({ part(pool[1], 3'000), part(pool[0], 300) }, 1'000));
     const TimePoint later = Start + Seconds(1);
     ledger.place({ 1, 2 }, load({ part(pool[0], 400) }, 1'000, later));
@@ -146,15 +146,15 @@
     EXPECT_DOUBLE_EQ(ledger.uses(later + Millis(100))[pool[0].m_id].m_readBacklogMs, 300);
 }
 
-TEST(StreamLedgerTest, KnowsTheShortestPause)
+TEST(StreamLedgerTest, SumsUpTheSmallestGapLimit)
 {
     StreamLedger ledger;
     const auto pool = engines(0, 2);
     ledger.place({ 1, 1 }, load({ part(pool[0], 100), part(pool[1], 100) }, 1'000));
     ledger.place({ 1, 2 }, load({ part(pool[0], 20) }, 250));
     EndpointUses uses = ledger.uses(Start);
-    EXPECT_EQ(uses[pool[0].m_id].m_tightestGapMs, 250u);
-    EXPECT_EQ(uses[pool[1].m_id].m_tightestGapMs, 0u);
+    EXPECT_EQ(uses[pool[0].m_id].m_minGapLimitMs, 250u);
+    EXPECT_EQ(uses[pool[1].m_id].m_minGapLimitMs, 0u);
 }
 
 TEST(GangPlanTest, ShortPromptGoesToTheLeastLoadedEngine)
@@ -163,28 +163,28 @@
     StreamLedger ledger;
     for (uint64_t i = 0; i < 3; ++i)
         ledger.place({ 1, i }, load({ part(pool[i], 20, 6'000) }, 250));
-    const auto plan =
-        planGang({}, usersCosts(), { pool, {} }, ledger.uses(Start), strictQuestion(5'000));
+    const auto plan = planGang({}, declaredEngineCosts(), { pool, {} }, ledger.uses(Start),
+                               strictQuestion(5'000));
     ASSERT_TRUE(plan);
     ASSERT_EQ(plan->m_members.size(), 1u);
     EXPECT_EQ(plan->m_members[0].m_endpoint.m_id, pool[3].m_id);
 }
 
-TEST(GangPlanTest, LongPromptIsReadInEvenPartsByItsSide)
+TEST(GangPlanTest, OwnSidePrefillsLongPromptInEqualParts)
 {
     const auto own = engines(0, 14);
     const auto plan =
-        planGang({}, usersCosts(), { own, engines(14, 18) }, {}, longQuestion(133'000));
+        planGang({}, declaredEngineCosts(), { own, engines(14, 18) }, {}, longQuestion(133'000));
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->m_members.size(), 14u);
-    const double whole = readTime(usersCosts(), 133'000).count();
+    const double whole = prefillDuration(declaredEngineCosts(), 133'000).count();
     for (const GangMember &member : plan->m_members) {
         EXPECT_NEAR(member.m_readMs, whole / 14, 0.01);
         EXPECT_FALSE(member.m_reserve);
     }
 }
 
-TEST(GangPlanTest, SmallSideInvitesGuestsOnlyForShortParts)
+TEST(GangPlanTest, SmallSideUsesOtherEnginesOnlyForShortParts)
 {
     const auto own = engines(0, 1);
     const auto others = engines(1, 18);
@@ -194,13 +194,15 @@
         ledger.startWriting({ 1, i });
     }
     const EndpointUses uses = ledger.uses(Start);
-    const auto usual = planGang({}, usersCosts(), { own, others }, uses, longQuestion(120'000));
+    const auto usual =
+        planGang({}, declaredEngineCosts(), { own, others }, uses, longQuestion(120'000));
     ASSERT_TRUE(usual);
     EXPECT_EQ(usual->m_members.size(), 17u);
-    // With a pass the part stays below the pause of 250 ms that their streams bear.
+    // The part and a pass together stay below the gap limit of 250 ms.
     for (const GangMember &member : usual->m_members)
         EXPECT_LE(member.m_readMs, 110);
-    const auto huge = planGang({}, usersCosts(), { own, others }, uses, longQuestion(200'000));
+    const auto huge =
+        planGang({}, declaredEngineCosts(), { own, others }, uses, longQuestion(200'000));
     ASSERT_TRUE(huge);
     EXPECT_EQ(huge->m_members.size(), 1u);
 }
@@ -209,7 +211,8 @@
 {
     const auto own = engines(0, 14);
     for (const double tokens : { 230'000.0, 400'000.0, 600'000.0 }) {
-        const auto plan = planGang({}, usersCosts(), { own, {} }, {}, longQuestion(tokens));
+        const auto plan =
+            planGang({}, declaredEngineCosts(), { own, {} }, {}, longQuestion(tokens));
         ASSERT_TRUE(plan) << tokens;
         uint64_t held = 0;
         for (const GangMember &member : plan->m_members) {
@@ -223,19 +226,20 @@
 
 TEST(GangPlanTest, NoPlanIfTheMemoryIsNotThere)
 {
-    EXPECT_FALSE(planGang({}, usersCosts(), { engines(0, 2), {} }, {}, longQuestion(600'000)));
-    EXPECT_FALSE(planGang({}, usersCosts(), {}, {}, longQuestion(1'000)));
+    EXPECT_FALSE(
+        planGang({}, declaredEngineCosts(), { engines(0, 2), {} }, {}, longQuestion(600'000)));
+    EXPECT_FALSE(planGang({}, declaredEngineCosts(), {}, {}, longQuestion(1'000)));
 }
 
-// One engine with much to read held up all that it helped with: 12 s were predicted for prompts
-// that thirteen others read in 0.3 s.
-TEST(GangPlanTest, EngineWithMuchToReadIsLeftOut)
+// An engine with a long backlog delays every prompt that it helps with: the predicted first event
+// of prompts that thirteen other engines prefill in 0.3 s was 12 s.
+TEST(GangPlanTest, EngineWithLongBacklogIsNotUsed)
 {
     const auto own = engines(0, 14);
     StreamLedger ledger;
     ledger.place({ 1, 1 }, load({ part(own[3], 12'000) }, 1'000));
     const auto plan =
-        planGang({}, usersCosts(), { own, {} }, ledger.uses(Start), longQuestion(133'000));
+        planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), longQuestion(133'000));
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->m_members.size(), 13u);
     EXPECT_LT(plan->m_firstEvent.count(), 400);
@@ -243,12 +247,13 @@
         EXPECT_NE(member.m_endpoint.m_id, own[3].m_id);
 }
 
-// Each engine's part, with its pass and all that it has still to read, stays below the pause that
-// its streams bear; 24 in 100 of the longest streams that began in time lost it by a pause before.
-TEST(GangPlanTest, StreamsBearTheParts)
+// On each engine the part, a pass and the backlog together stay below the gap limit of its streams.
+// Without that, 24 in 100 of the longest streams that started in time exceeded their gap limit
+// later.
+TEST(GangPlanTest, PartsKeepStreamsWithinTheirGapLimits)
 {
     const auto own = engines(0, 14);
-    const EngineCosts costs = usersCosts();
+    const EngineCosts costs = declaredEngineCosts();
     StreamLedger ledger;
     for (uint64_t i = 0; i < 7; ++i) {
         ledger.place({ 1, i }, load({ part(own[i], 0, 130'000) }, 600));
@@ -262,42 +267,43 @@
     EXPECT_GE(plan->m_members.size(), 7u);
     for (const GangMember &member : plan->m_members) {
         const auto use = uses.find(member.m_endpoint.m_id);
-        if (use == uses.end() || use->second.m_tightestGapMs == 0)
+        if (use == uses.end() || use->second.m_minGapLimitMs == 0)
             continue;
         const double pass = passTime(costs, 1, 130'000).count();
         EXPECT_LE(member.m_readMs + use->second.m_readBacklogMs + pass,
-                  use->second.m_tightestGapMs);
+                  use->second.m_minGapLimitMs);
     }
 }
 
-TEST(GangPlanTest, NoPlanSparesStreamsThatBearNothing)
+TEST(GangPlanTest, NoPlanWithoutDisruptionIfStreamsTolerateNothing)
 {
     const auto own = engines(0, 4);
     StreamLedger ledger;
     for (uint64_t i = 0; i < 8; ++i)
         ledger.place({ 1, i }, load({ part(own[i % 4], 0, 5'000) }, 100));
     GangQuestion question = longQuestion(133'000);
-    EXPECT_FALSE(planGang({}, usersCosts(), { own, {} }, ledger.uses(Start), question));
-    question.m_care = StreamCare::Spoil;
-    const auto plan = planGang({}, usersCosts(), { own, {} }, ledger.uses(Start), question);
+    EXPECT_FALSE(planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), question));
+    question.m_disruption = StreamCare::AllowDisruption;
+    const auto plan =
+        planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), question);
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->m_spoilt, 8u);
 }
 
-// Streams gather where some are written, so that the other engines stay free to read.
-TEST(GangPlanTest, EngineThatWritesAnswersTheNextLongPrompt)
+// Answers gather on engines that already decode, so that the other engines stay free for prefills.
+TEST(GangPlanTest, DecodingEngineAnswersTheNextLongPrompt)
 {
     const auto own = engines(0, 14);
     StreamLedger ledger;
     ledger.place({ 1, 1 }, load({ part(own[5], 0, 50'000) }, 1'000));
     ledger.startWriting({ 1, 1 });
     const auto plan =
-        planGang({}, usersCosts(), { own, {} }, ledger.uses(Start), longQuestion(133'000));
+        planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), longQuestion(133'000));
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->m_members[0].m_endpoint.m_id, own[5].m_id);
 }
 
-TEST(PoolSplitTest, FollowsTheDemandOfBothSides)
+TEST(PoolSplitTest, DependsOnTheDemandOfBothSides)
 {
     const auto pool = engines(0, 18);
     PoolSplit split;
@@ -313,7 +319,7 @@
     EXPECT_LT(most, 18u);
 }
 
-TEST(PoolSplitTest, RemembersWhatWasNeededForAWhile)
+TEST(PoolSplitTest, ShrinksAfterADelay)
 {
     const auto pool = engines(0, 18);
     PoolSplit split;
@@ -322,13 +328,13 @@
         ledger.place({ 1, i }, load({ part(pool[i % 18], 0, 5'000) }, 250));
     EXPECT_EQ(strictEngines(split, pool, ledger.uses(Start), {}, Start).size(), 6u);
     ledger.forgetOrigin(1);
-    const TimePoint soon = Start + split.m_settings.m_memory / 2;
+    const TimePoint soon = Start + split.m_settings.m_shrinkDelay / 2;
     EXPECT_EQ(strictEngines(split, pool, ledger.uses(soon), {}, soon).size(), 6u);
-    const TimePoint later = Start + split.m_settings.m_memory;
+    const TimePoint later = Start + split.m_settings.m_shrinkDelay;
     EXPECT_EQ(strictEngines(split, pool, ledger.uses(later), {}, later).size(), 1u);
 }
 
-TEST(PoolSplitTest, StrictStreamsFillTheirEnginesUnderOverload)
+TEST(PoolSplitTest, OverloadRaisesStrictStreamsPerEngine)
 {
     const auto pool = engines(0, 18);
     PoolSplit split;
@@ -337,11 +343,11 @@
         ledger.place({ 1, i }, load({ part(pool[i % 18], 0, 5'000) }, 250));
     for (uint64_t i = 0; i < 18; ++i)
         ledger.place({ 2, i }, load({ part(pool[i], 2'000) }, 1'000));
-    // 13.6 streams an engine; in proportion they would get 6, with 16.7 on each.
+    // 13.6 streams per engine; in proportion they would get 6 engines, with 16.7 on each.
     EXPECT_EQ(strictEngines(split, pool, ledger.uses(Start), {}, Start).size(), 8u);
 }
 
-TEST(PoolSplitTest, LongPromptsKeepEnginesUnderAnyLoad)
+TEST(PoolSplitTest, LongPromptsKeepEnginesUnderStrictOverload)
 {
     const auto pool = engines(0, 20);
     PoolSplit split;
@@ -353,7 +359,7 @@
     EXPECT_EQ(strictEngines(split, pool, ledger.uses(Start), demand, Start).size(), 17u);
 }
 
-TEST(PoolSplitTest, CountsThoseThatWaitAndThoseThatArrive)
+TEST(PoolSplitTest, CountsWaitingAndArrivingStreams)
 {
     const auto pool = engines(0, 18);
     PoolSplit waiting;
@@ -362,14 +368,14 @@
     EXPECT_EQ(strictEngines(waiting, pool, {}, demand, Start).size(), 6u);
     PoolSplit arriving;
     demand.m_waiting = 0;
-    demand.m_arrivals = 40; // A hundred a second, each for 1.33 s.
+    demand.m_arrivals = 40; // A hundred per second, each for 1.33 s.
     demand.m_streamTime = FloatMillis(1'330);
     EXPECT_GE(strictEngines(arriving, pool, {}, demand, Start).size(), 13u);
 }
 
-// When many short prompts give way to long ones, the streams that are left stay on all engines for
-// seconds. They must not hold these back from the long prompts: new streams need few engines.
-TEST(PoolSplitTest, StreamsThatABusierTimeLeftHoldNoEngines)
+// When a phase of short prompts ends, the remaining strict streams stay on all engines for seconds.
+// These engines have to be available to long prompts, as new strict streams need only a few.
+TEST(PoolSplitTest, LeftoverStreamsReserveNoEngines)
 {
     const auto pool = engines(0, 60);
     PoolSplit split;
@@ -377,43 +383,43 @@
     for (uint64_t i = 0; i < 240; ++i)
         ledger.place({ 1, i }, load({ part(pool[i % 60], 0, 5'000) }, 250));
     StrictDemand demand;
-    demand.m_arrivals = 12; // Thirty a second.
+    demand.m_arrivals = 12; // Thirty per second.
     demand.m_streamTime = FloatMillis(1'500);
     demand.m_slots = 12;
     EXPECT_LE(strictEngines(split, pool, ledger.uses(Start), demand, Start).size(), 12u);
-    // As many streams that new ones take the place of are a steady load.
+    // If as many new streams arrive as end, the load is steady and keeps its engines.
     demand.m_arrivals = 60;
     EXPECT_GE(strictEngines(split, pool, ledger.uses(Start), demand, Start).size(), 30u);
 }
 
-// Streams on engines that are not for them any more take no slot of those that are.
-TEST(TurnQueueTest, StreamsElsewhereTakeNoSlotOfTheirSide)
+// Strict streams on engines that no longer belong to their side use no slots of that side.
+TEST(TurnQueueTest, StreamsOnOtherEnginesUseNoSlotOfTheSide)
 {
     const auto pool = engines(0, 4);
     StreamLedger ledger;
     for (uint64_t i = 0; i < 8; ++i)
         ledger.place({ 1, i }, load({ part(pool[i % 4], 0, 5'000) }, 250));
-    const SideLoad side = sideLoadOf(usersCosts(), pool, { pool[0].m_id }, ledger.uses(Start),
-                                     ledger.readingLong(), true);
+    const SideLoad side = sideLoadOf(declaredEngineCosts(), pool, { pool[0].m_id },
+                                     ledger.uses(Start), ledger.readingLong(), true);
     EXPECT_EQ(side.m_engines, 1u);
     EXPECT_EQ(side.m_strictStreams, 2u);
 }
 
-// Who waits for four seconds leaves engines more to read than who waits for two.
-TEST(TurnQueueTest, RoomFollowsTheAims)
+// A longer latency target permits a larger prefill backlog.
+TEST(TurnQueueTest, AllowedPrefillsDependOnTheLatencyTarget)
 {
     const TurnSettings settings;
     SideLoad load;
     load.m_engines = 10;
     load.m_reading = { settings.m_leastReading, 8'000 };
     load.m_longestAim = Seconds(2);
-    EXPECT_EQ(roomToRead(settings, load), 0u);
+    EXPECT_EQ(prefillsAllowed(settings, load), 0u);
     load.m_longestAim = Seconds(4);
-    EXPECT_EQ(roomToRead(settings, load), 1u);
+    EXPECT_EQ(prefillsAllowed(settings, load), 1u);
 }
 
-// Engines with twelve slots fill up with fewer streams than those with sixteen.
-TEST(PoolSplitTest, FollowsTheSlotsOfAnEngine)
+// Engines with twelve slots take fewer streams than those with sixteen.
+TEST(PoolSplitTest, DependsOnTheSlotsOfAnEngine)
 {
     const auto pool = engines(0, 18);
     PoolSplit split;
@@ -423,8 +429,8 @@
     EXPECT_EQ(strictEngines(split, pool, {}, demand, Start).size(), 8u);
 }
 
-// VMs that begin at once, as after a loss of power, know nothing of each other.
-TEST(PoolSplitTest, BlindVmGivesStrictStreamsHalf)
+// VMs that start at the same time, such as after a power failure, do not know each other's load.
+TEST(PoolSplitTest, RestartedVmAssignsHalfToStrictStreams)
 {
     PoolSplit split;
     StrictDemand demand;
@@ -432,7 +438,7 @@
     EXPECT_EQ(strictEngines(split, engines(0, 18), {}, demand, Start).size(), 9u);
 }
 
-TEST(GangPlanTest, BlindVmsDoNotAllChooseTheSameEngine)
+TEST(GangPlanTest, VmsWithoutKnownLoadChooseDifferentEngines)
 {
     RandomEngine random(3);
     std::unordered_set<EndpointId> chosen;
@@ -441,24 +447,25 @@
         question.m_rooms.m_draw = [&] {
             return std::uniform_real_distribution<double>(0, 1)(random);
         };
-        const auto plan = planGang({}, usersCosts(), { engines(0, 9), {} }, {}, question);
+        const auto plan = planGang({}, declaredEngineCosts(), { engines(0, 9), {} }, {}, question);
         chosen.insert(plan->m_members[0].m_endpoint.m_id);
     }
     EXPECT_GE(chosen.size(), 7u);
 }
 
-TEST(GangPlanTest, MiddlePromptIsAnsweredOnTheStrictSide)
+TEST(GangPlanTest, MediumPromptIsAnsweredOnTheStrictSide)
 {
     const auto own = engines(0, 14);
     const auto others = engines(14, 18);
-    const auto plan = planGang({}, usersCosts(), { own, others }, {}, longQuestion(45'000));
+    const auto plan =
+        planGang({}, declaredEngineCosts(), { own, others }, {}, longQuestion(45'000));
     ASSERT_TRUE(plan);
     EXPECT_GE(plan->m_members[0].m_endpoint.m_id, others[0].m_id);
     for (size_t i = 1; i < plan->m_members.size(); ++i)
         EXPECT_LT(plan->m_members[i].m_endpoint.m_id, others[0].m_id);
 }
 
-TEST(TurnQueueTest, EarliestAimGoesFirstAndTheLateGoLast)
+TEST(TurnQueueTest, OrdersByTargetAndPutsLateRequestsLast)
 {
     const LoadKey late{ 1, 1 };
     const LoadKey early{ 1, 2 };
@@ -467,39 +474,40 @@
     queue[late] = { Start + Millis(99), Millis(100), Start + Seconds(9) };
     queue[early] = { Start + Millis(500), Millis(100), Start + Seconds(9) };
     queue[other] = { Start + Millis(900), Millis(100), Start + Seconds(9) };
-    EXPECT_TRUE(mayBegin(queue, early, 1, Start));
-    EXPECT_FALSE(mayBegin(queue, other, 1, Start));
-    EXPECT_FALSE(mayBegin(queue, late, 1, Start));
+    EXPECT_TRUE(mayStartNow(queue, early, 1, Start));
+    EXPECT_FALSE(mayStartNow(queue, other, 1, Start));
+    EXPECT_FALSE(mayStartNow(queue, late, 1, Start));
     queue.erase(early);
-    EXPECT_TRUE(mayBegin(queue, other, 1, Start));
+    EXPECT_TRUE(mayStartNow(queue, other, 1, Start));
     queue.erase(other);
-    EXPECT_TRUE(mayBegin(queue, late, 1, Start));
-    EXPECT_TRUE(mayBegin(queue, { 9, 9 }, 1, Start)); // Does not wait.
+    EXPECT_TRUE(mayStartNow(queue, late, 1, Start));
+    EXPECT_TRUE(mayStartNow(queue, { 9, 9 }, 1, Start)); // Not in the queue.
 }
 
-// One at a time, a burst of 250 a second waited 1.1 s in front of free slots.
-TEST(TurnQueueTest, AllThatFindRoomBeginAtOnce)
+// Starting one request at a time delayed a burst of 250 per second by 1.1 s although slots were
+// free.
+TEST(TurnQueueTest, AllRequestsWithinTheLimitStartAtOnce)
 {
     TurnQueue queue;
     for (uint64_t i = 1; i <= 5; ++i)
         queue[{ 1, i }] = { Start + Millis(500 + i), Millis(100), Start + Seconds(9) };
-    EXPECT_TRUE(mayBegin(queue, { 1, 3 }, 3, Start));
-    EXPECT_FALSE(mayBegin(queue, { 1, 4 }, 3, Start));
-    EXPECT_FALSE(mayBegin(queue, { 1, 1 }, 0, Start));
+    EXPECT_TRUE(mayStartNow(queue, { 1, 3 }, 3, Start));
+    EXPECT_FALSE(mayStartNow(queue, { 1, 4 }, 3, Start));
+    EXPECT_FALSE(mayStartNow(queue, { 1, 1 }, 0, Start));
 }
 
-TEST(TurnQueueTest, OneWhoseEndIsNotHeardOfBlocksNobodyForLong)
+TEST(TurnQueueTest, EntryWithoutReportedEndExpires)
 {
     const LoadKey gone{ 1, 1 };
     const LoadKey mine{ 2, 1 };
     TurnQueue queue;
     queue[gone] = { Start + Seconds(3), Millis(100), Start + Seconds(2) };
     queue[mine] = { Start + Seconds(4), Millis(100), Start + Seconds(9) };
-    EXPECT_FALSE(mayBegin(queue, mine, 1, Start));
-    EXPECT_TRUE(mayBegin(queue, mine, 1, Start + Seconds(2)));
+    EXPECT_FALSE(mayStartNow(queue, mine, 1, Start));
+    EXPECT_TRUE(mayStartNow(queue, mine, 1, Start + Seconds(2)));
 }
 
-TEST(TurnQueueTest, WhatCannotBeInTimeIsKnown)
+TEST(TurnQueueTest, DetectsRequestsThatCannotBeInTime)
 {
     const WaitingTurn turn{ Start + Millis(3'000), Millis(1'000), Start + Seconds(9) };
     EXPECT_FALSE(isTooLate(turn, Start + Millis(2'000)));
@@ -508,7 +516,7 @@
     EXPECT_FALSE(isInTime(turn, FloatMillis(1'501), Start + Millis(1'500)));
 }
 
-TEST(TurnQueueTest, RoomFollowsWhatTheSideHasToDo)
+TEST(TurnQueueTest, AllowedStartsDependOnTheLoad)
 {
     const TurnSettings settings;
     SideLoad load;
@@ -516,82 +524,86 @@
     load.m_engines = 4;
     load.m_slots = 64;
     load.m_reading = { settings.m_leastReading - 1, 10'000 };
-    EXPECT_EQ(roomToRead(settings, load), 1u);
+    EXPECT_EQ(prefillsAllowed(settings, load), 1u);
     load.m_reading = { settings.m_leastReading, 10'000 };
-    EXPECT_EQ(roomToRead(settings, load), 0u);
+    EXPECT_EQ(prefillsAllowed(settings, load), 0u);
     load.m_reading = { settings.m_leastReading, 100 };
-    EXPECT_EQ(roomToRead(settings, load), 1u);
+    EXPECT_EQ(prefillsAllowed(settings, load), 1u);
     load.m_reading = { 0, 0 };
-    EXPECT_EQ(roomToRead(settings, load), settings.m_leastReading);
+    EXPECT_EQ(prefillsAllowed(settings, load), settings.m_leastReading);
     load.m_strictStreams = 60;
-    EXPECT_EQ(roomToWrite(settings, load), 1u);
+    EXPECT_EQ(strictStreamsAllowed(settings, load), 1u);
     load.m_strictStreams = 61;
-    EXPECT_EQ(roomToWrite(settings, load), 0u);
+    EXPECT_EQ(strictStreamsAllowed(settings, load), 0u);
     load.m_strictStreams = 0;
-    EXPECT_EQ(roomToWrite(settings, load), 61u);
+    EXPECT_EQ(strictStreamsAllowed(settings, load), 61u);
 }
 
-// On 48 engines that read for half a second, eight of the users' largest kind have to be under way.
-TEST(TurnQueueTest, LargePoolsReadMorePromptsAtOnce)
+// To keep 48 engines busy for half a second, eight prompts of the largest declared kind have to be
+// in prefill.
+TEST(TurnQueueTest, LargePoolsPrefillMorePromptsConcurrently)
 {
     const TurnSettings settings;
-    const double read = readTime(usersCosts(), 190'000).count();
+    const double read = prefillDuration(declaredEngineCosts(), 190'000).count();
     SideLoad load;
     load.m_longestAim = Seconds(3);
     load.m_engines = 48;
     load.m_reading = { 7, 7 * read };
-    EXPECT_GE(roomToRead(settings, load), 1u);
+    EXPECT_GE(prefillsAllowed(settings, load), 1u);
     load.m_engines = 12;
     load.m_reading = { 5, 5 * read };
-    EXPECT_EQ(roomToRead(settings, load), 0u);
+    EXPECT_EQ(prefillsAllowed(settings, load), 0u);
 }
 
-// Once it is too late all others go first: a log that said so would hide that no set of engines had
-// the memory, or that all were busy.
-TEST(TurnQueueTest, RefusalNamesWhatStoodInTheWayBefore)
+// A request that is too late moves behind all others. A refusal that reported this would hide the
+// actual reason: no set of engines had the memory, or all were busy.
+TEST(TurnQueueTest, RefusalReportsThePreviousObstacle)
 {
     ModelRequest request;
     request.m_promptTokens = 100'000;
     request.m_aim = Seconds(3);
     request.m_arrival = Start;
     request.m_deadline = Start + Seconds(60);
-    const WaitingTurn turn = turnOf({}, usersCosts(), request, 18);
+    const WaitingTurn turn = turnOf({}, declaredEngineCosts(), request, 18);
     const GangPlanner noPlan = [](StreamCare) { return std::nullopt; };
     const auto lookAt = [&](Millis after, bool next, TurnObstacle before) {
-        return lookForTurn({}, usersCosts(), request, turn, next, before, noPlan, Start + after);
+        return lookForTurn({}, declaredEngineCosts(), request, turn, next, before, noPlan,
+                           Start + after);
     };
-    EXPECT_EQ(lookAt(Millis(100), true, TurnObstacle::None).m_obstacle, TurnObstacle::NoneBearsIt);
-    const TurnLook refused = lookAt(Millis(2'500), false, TurnObstacle::NoneBearsIt);
+    EXPECT_EQ(lookAt(Millis(100), true, TurnObstacle::None).m_obstacle,
+              TurnObstacle::NoEligibleEngines);
+    const TurnLook refused = lookAt(Millis(2'500), false, TurnObstacle::NoEligibleEngines);
     EXPECT_TRUE(refused.m_tooLate);
-    EXPECT_EQ(refused.m_obstacle, TurnObstacle::NoneBearsIt);
+    EXPECT_EQ(refused.m_obstacle, TurnObstacle::NoEligibleEngines);
     EXPECT_EQ(lookAt(Millis(2'500), false, TurnObstacle::None).m_obstacle,
-              TurnObstacle::OthersFirst);
+              TurnObstacle::BehindOthers);
 }
 
-// Of a large pool half of all long prompts went past the queue as little ones, and the larger half
-// was refused behind them.
-TEST(TurnQueueTest, LittleDoesNotGrowWithThePool)
+// If the limit grew with the pool, half of all long prompts in a large pool would bypass the queue,
+// and the larger half would be refused behind them.
+TEST(TurnQueueTest, CheapPrefillLimitDoesNotGrowWithThePool)
 {
     const TurnSettings settings;
     SideLoad load;
     load.m_longestAim = Seconds(3);
     for (const size_t engines : { 4, 18, 75, 300 }) {
         load.m_engines = engines;
-        EXPECT_TRUE(readsLittle(settings, usersCosts(), load, 45'000)) << engines;
-        EXPECT_FALSE(readsLittle(settings, usersCosts(), load, 150'000)) << engines;
+        EXPECT_TRUE(isCheapPrefill(settings, declaredEngineCosts(), load, 45'000)) << engines;
+        EXPECT_FALSE(isCheapPrefill(settings, declaredEngineCosts(), load, 150'000)) << engines;
     }
 }
 
-// Seen on 60 engines with a full backlog: 180 k tokens took 0.7 to 0.85 s, and began too late with
-// an estimate of 0.33 s, as if all engines read each prompt.
-TEST(TurnQueueTest, NeedOfALongPromptCountsItsReadersOnly)
+// An estimate as if all engines of the pool prefilled each prompt (0.33 s on 60 engines) started
+// prompts too late: 180 k tokens took 0.7 to 0.85 s there with a full backlog.
+TEST(TurnQueueTest, FirstEventEstimateUsesTheLimitOfEngines)
 {
     const TurnSettings settings;
-    const FloatMillis needed = neededToRead(settings, usersCosts(), 180'000, 60);
-    EXPECT_EQ(needed, neededToRead(settings, usersCosts(), 180'000, settings.m_mostReaders));
+    const FloatMillis needed = longPromptFirstEvent(settings, declaredEngineCosts(), 180'000, 60);
+    EXPECT_EQ(needed, longPromptFirstEvent(settings, declaredEngineCosts(), 180'000,
+                                           settings.m_maxPrefillEngines));
     EXPECT_GE(needed, FloatMillis(800));
     EXPECT_LE(needed, FloatMillis(950));
-    EXPECT_GT(neededToRead(settings, usersCosts(), 180'000, 4), needed);
+    EXPECT_GT(longPromptFirstEvent(settings, declaredEngineCosts(), 180'000, 4), needed);
 }
 
 } // namespace
--- a/tests/policy/pool_loads.cpp
+++ b/tests/policy/pool_loads.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-EngineCosts slowReaders(uint32_t slots, uint32_t stride)
+EngineCosts slowPrefillCosts(uint32_t slots, uint32_t stride)
 {
     EngineCosts costs = declaredCosts(slots, stride);
     costs.m_memoryTokens = 405'000;
@@ -31,7 +31,7 @@
     return costs;
 }
 
-EngineCosts fastReaders(uint32_t slots, uint32_t stride)
+EngineCosts fastPrefillCosts(uint32_t slots, uint32_t stride)
 {
     EngineCosts costs = declaredCosts(slots, stride);
     costs.m_memoryTokens = 382'500;
@@ -77,7 +77,7 @@
 
 NamedLoad shiftedLoad()
 {
-    NamedLoad shifted = loadOf("60 engines, longest prompts", 60, fastReaders(12, 52),
+    NamedLoad shifted = loadOf("60 engines, longest prompts", 60, fastPrefillCosts(12, 52),
                                { shortKind(84, 33), middleKind(13.4, 20, 2.6),
                                  longKind(300'000, 1'000'000, Millis(4'000), 2.3, 16.5, 30) });
     std::vector<PromptKind> &kinds = shifted.m_load.m_kinds;
@@ -95,13 +95,13 @@
         loadOf("18 engines", 18, declaredCosts(16, 43),
                { shortKind(38.3, 31.6), middleKind(2.09, 19, 3.9),
                  longKind(133'000, 600'000, Millis(2'500), 1.76, 15.8, 15) }),
-        loadOf("18 slow readers", 18, slowReaders(16, 34),
+        loadOf("18 slow readers", 18, slowPrefillCosts(16, 34),
                { shortKind(36, 38.5), middleKind(2.01, 23.1, 3.9),
                  longKind(182'000, 900'000, Millis(3'000), 0.935, 19.2, 24) }),
         loadOf("60 engines", 60, declaredCosts(12, 48),
                { shortKind(99.8, 30.7), middleKind(6.8, 18.4, 3.3),
                  longKind(190'000, 600'000, Millis(3'000), 3.22, 15.3, 20) }),
-        loadOf("60 slow readers", 60, slowReaders(12, 38),
+        loadOf("60 slow readers", 60, slowPrefillCosts(12, 38),
                { shortKind(95.1, 35.7), middleKind(6.68, 21.4, 3.3),
                  longKind(260'000, 900'000, Millis(4'000), 1.67, 17.8, 34) }),
         loadOf("a cell of 37 engines", 37, declaredCosts(10, 68),
--- a/tests/policy/pool_loads.h
+++ b/tests/policy/pool_loads.h
@@ -1,4 +1,4 @@
-/// Loads for the simulated pool, as the users' sheets declare them.
+/// Loads for the simulated pool, as declared by the users' specification.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace stackquay {
 
-/// Costs of the engines that most of the sheets declare.
+/// Costs of the engine type of most declared deployments.
 EngineCosts declaredCosts(uint32_t slots, uint32_t stride);
 
 struct NamedLoad {
@@ -16,8 +16,8 @@
     PoolLoad m_load;
 };
 
-/// One for each kind of deployment; of the large one, the share of a cell. Phases of many long
-/// prompts take turns with phases of many short ones.
+/// One load for each kind of deployment; for the large one, the load of one cell. Phases with many
+/// long prompts alternate with phases with many short ones.
 std::vector<NamedLoad> declaredLoads();
 
 } // namespace stackquay
--- a/tests/policy/pool_sim.cpp
+++ b/tests/policy/pool_sim.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// Between looks of a request that waits, as at a VM.
-constexpr Millis LookInterval{ 12 };
-/// Clients leave after the longest of these silences (the users' pages).
-constexpr Millis LeastPatience{ 2'000 };
-constexpr int PatienceAims = 4;
+/// Interval at which a waiting request polls, as at a VM.
+constexpr Millis PollInterval{ 12 };
+/// Clients give up after the longest of these silences, as in the users' specification.
+constexpr Millis MinPatience{ 2'000 };
+constexpr int PatienceTargets = 4;
 constexpr int PatienceGaps = 8;
 
 double secondsOf(std::chrono::duration<double> duration)
@@ -25,31 +25,31 @@
     return duration.count();
 }
 
-/// A prompt from its arrival to its fate.
+/// State of one prompt.
 struct Prompt {
     LoadKey m_key;
     ModelRequest m_request;
     WaitingTurn m_turn;
-    PromptFate m_fate;
+    PromptOutcome m_outcome;
     size_t m_partsLeft = 0;
     uint32_t m_eventsLeft = 0;
-    size_t m_engine = 0; ///< That answers.
-    TimePoint m_lastEvent{}; ///< Not set: none came.
-    bool m_left = false; ///< Its caller does not wait any more.
+    size_t m_engine = 0; ///< Index of the engine that answers.
+    TimePoint m_lastEvent{}; ///< Zero: none yet.
+    bool m_callerGone = false; ///< Its caller has given up.
 };
 
 struct Part {
     size_t m_prompt = 0;
-    FloatMillis m_read{ 0 };
+    FloatMillis m_prefill{ 0 };
 };
 
 struct Engine {
     std::vector<Part> m_waiting;
-    std::vector<Part> m_reading; ///< In the present pass.
-    std::vector<size_t> m_writers;
-    std::vector<size_t> m_writing; ///< Those of the present pass.
+    std::vector<Part> m_prefilling; ///< In the current pass.
+    std::vector<size_t> m_decodingStreams;
+    std::vector<size_t> m_decodingNow; ///< In the current pass.
     std::optional<TimePoint> m_passEnd;
-    double m_context = 0; ///< Tokens of its writers.
+    double m_context = 0; ///< Context tokens of its decoding streams.
 };
 
 class PoolSim
@@ -69,40 +69,40 @@
         }
     }
 
-    PoolPlay play()
+    PoolRun play()
     {
         drawArrivals();
         const TimePoint end = Start + m_load.m_length;
         size_t next = 0;
-        for (TimePoint now = Start; now < end || !m_waiting.empty(); now += LookInterval) {
+        for (TimePoint now = Start; now < end || !m_waiting.empty(); now += PollInterval) {
             runEngines(now);
             for (; next < m_prompts.size() && m_prompts[next].m_request.m_arrival <= now; ++next)
-                beginToWait(next);
-            lookAll(now);
+                enqueue(next);
+            pollAll(now);
             if (now < end)
                 countIdle();
         }
-        // What was begun ends.
-        for (int i = 0; i < EndLooks; ++i)
-            runEngines(end + LookInterval * i);
-        PoolPlay played;
+        // Let the started requests finish.
+        for (int i = 0; i < DrainPolls; ++i)
+            runEngines(end + PollInterval * i);
+        PoolRun run;
         for (const Prompt &prompt : m_prompts)
-            played.m_fates.push_back(prompt.m_fate);
-        played.m_time = m_time;
-        return played;
+            run.m_outcomes.push_back(prompt.m_outcome);
+        run.m_time = m_time;
+        return run;
     }
 
 private:
     static constexpr TimePoint Start{ Seconds(1'000) };
-    static constexpr int EndLooks = 2'000;
+    static constexpr int DrainPolls = 2'000;
 
     void countIdle()
     {
         const auto idle = std::count_if(m_engines.begin(), m_engines.end(),
                                         [](const Engine &engine) { return !engine.m_passEnd; });
-        const double time = secondsOf(LookInterval) * static_cast<double>(idle);
+        const double time = secondsOf(PollInterval) * static_cast<double>(idle);
         m_time.m_idle += time;
-        m_time.m_idleInNeed += m_waiting.empty() ? 0 : time;
+        m_time.m_idleWhileWaiting += m_waiting.empty() ? 0 : time;
     }
 
     double draw() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
@@ -118,17 +118,17 @@
 
     void drawArrivalsOf(size_t kind)
     {
-        const double most = m_load.m_kinds[kind].m_perSecond * mostFactor(kind);
+        const double most = m_load.m_kinds[kind].m_perSecond * maxRateFactor(kind);
         double at = 0;
         const double end = std::chrono::duration<double>(m_load.m_length).count();
         while ((at += std::exponential_distribution<double>(most)(m_random)) < end) {
-            // Thinned out to the rate of its phase.
-            if (draw() * mostFactor(kind) <= factorAt(kind, at))
+            // Rejection sampling reduces the maximum rate to the rate of the phase.
+            if (draw() * maxRateFactor(kind) <= rateFactorAt(kind, at))
                 m_prompts.push_back(drawPrompt(kind, at));
         }
     }
 
-    double mostFactor(size_t kind) const
+    double maxRateFactor(size_t kind) const
     {
         double most = 0;
         for (const auto &phase : m_load.m_phases)
@@ -136,7 +136,7 @@
         return most;
     }
 
-    double factorAt(size_t kind, double at) const
+    double rateFactorAt(size_t kind, double at) const
     {
         const double phase = std::chrono::duration<double>(m_load.m_phase).count();
         return m_load.m_phases[static_cast<size_t>(at / phase) % m_load.m_phases.size()][kind];
@@ -148,26 +148,26 @@
         const double middle = std::log(of.m_meanTokens) - of.m_spread * of.m_spread / 2;
         Prompt prompt;
         prompt.m_key = { 1, ++m_sequence };
-        prompt.m_fate.m_kind = kind;
-        prompt.m_fate.m_tokens = std::min(
-            std::lognormal_distribution<double>(middle, of.m_spread)(m_random), of.m_mostTokens);
+        prompt.m_outcome.m_kind = kind;
+        prompt.m_outcome.m_tokens = std::min(
+            std::lognormal_distribution<double>(middle, of.m_spread)(m_random), of.m_maxTokens);
         ModelRequest &request = prompt.m_request;
-        request.m_promptTokens = prompt.m_fate.m_tokens;
+        request.m_promptTokens = prompt.m_outcome.m_tokens;
         request.m_gapLimitMs = of.m_gapLimitMs;
         request.m_aim = of.m_aim;
         request.m_patience = std::max(
-            { LeastPatience, of.m_aim * PatienceAims, Millis(of.m_gapLimitMs) * PatienceGaps });
+            { MinPatience, of.m_aim * PatienceTargets, Millis(of.m_gapLimitMs) * PatienceGaps });
         request.m_arrival =
             Start + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(at));
         request.m_deadline = request.m_arrival + of.m_deadline;
-        prompt.m_fate.m_arrival = request.m_arrival;
+        prompt.m_outcome.m_arrival = request.m_arrival;
         prompt.m_eventsLeft = 1
                               + static_cast<uint32_t>(std::exponential_distribution<double>(
                                   1 / of.m_meanEvents)(m_random));
         return prompt;
     }
 
-    void beginToWait(size_t index)
+    void enqueue(size_t index)
     {
         Prompt &prompt = m_prompts[index];
         prompt.m_turn = turnOf(m_load.m_turns, m_load.m_costs, prompt.m_request, m_pool.size());
@@ -180,12 +180,12 @@
         return prompt.m_request.strict() ? m_strictQueue : m_longQueue;
     }
 
-    /// Requests look in the order of their arrival; which one begins is up to the queue.
-    void lookAll(TimePoint now)
+    /// Requests poll in the order of their arrival; the queue determines which one starts.
+    void pollAll(TimePoint now)
     {
         std::vector<size_t> still;
         for (const size_t index : m_waiting) {
-            if (!look(m_prompts[index], index, now))
+            if (!poll(m_prompts[index], index, now))
                 still.push_back(index);
         }
         m_waiting = std::move(still);
@@ -199,40 +199,40 @@
         return longest;
     }
 
-    /// What all requests of one kind of stream see at a moment.
-    struct Picture {
+    /// The pool as all requests of one kind of stream see it at one time.
+    struct PoolView {
         EndpointUses m_uses;
         SideLoad m_side;
         GangSides m_sides;
     };
 
-    /// Drawn anew for each moment, and after each placement.
-    const Picture &picture(bool strict, TimePoint now)
+    /// Computed anew at each time step and after each placement.
+    const PoolView &poolView(bool strict, TimePoint now)
     {
-        if (m_drawnAt != now) {
-            m_pictures = {};
-            m_drawnAt = now;
+        if (m_poolViewAt != now) {
+            m_poolViews = {};
+            m_poolViewAt = now;
         }
-        auto &drawn = m_pictures[strict];
-        if (drawn)
-            return *drawn;
-        drawn.emplace();
-        drawn->m_uses = m_ledger.uses(now);
+        auto &view = m_poolViews[strict];
+        if (view)
+            return *view;
+        view.emplace();
+        view->m_uses = m_ledger.uses(now);
         const auto strictSide =
-            strictEngines(m_split, m_pool, drawn->m_uses,
+            strictEngines(m_split, m_pool, view->m_uses,
                           strictDemandOf(m_load.m_costs, m_strictQueue, m_ledger, now), now);
-        drawn->m_side = sideLoadOf(m_load.m_costs, m_pool, strictSide, drawn->m_uses,
-                                   m_ledger.readingLong(), strict);
-        drawn->m_side.m_longestAim = longestAim();
-        drawn->m_sides = divide(m_pool, strictSide, strict);
-        return *drawn;
+        view->m_side = sideLoadOf(m_load.m_costs, m_pool, strictSide, view->m_uses,
+                                  m_ledger.readingLong(), strict);
+        view->m_side.m_longestAim = longestAim();
+        view->m_sides = divide(m_pool, strictSide, strict);
+        return *view;
     }
 
-    /// Whether it waits no more.
-    bool look(Prompt &prompt, size_t index, TimePoint now)
+    /// Returns whether the request started or was refused.
+    bool poll(Prompt &prompt, size_t index, TimePoint now)
     {
         const ModelRequest &request = prompt.m_request;
-        const Picture &seen = picture(request.strict(), now);
+        const PoolView &seen = poolView(request.strict(), now);
         const bool next = isNext(m_load.m_turns, m_load.m_costs, request, queueOf(prompt),
                                  prompt.m_key, seen.m_side, now);
         const auto plan = [&](StreamCare care) {
@@ -240,21 +240,22 @@
             question.m_rooms.m_draw = [this] { return draw(); };
             return planGang(m_load.m_gang, m_load.m_costs, seen.m_sides, seen.m_uses, question);
         };
-        const TurnLook look = lookForTurn(m_load.m_turns, m_load.m_costs, request, prompt.m_turn,
-                                          next, prompt.m_fate.m_obstacle, plan, now);
-        prompt.m_fate.m_obstacle = look.m_obstacle;
-        if (!look.m_plan && !look.m_tooLate)
+        const TurnLook decision =
+            lookForTurn(m_load.m_turns, m_load.m_costs, request, prompt.m_turn, next,
+                        prompt.m_outcome.m_obstacle, plan, now);
+        prompt.m_outcome.m_obstacle = decision.m_obstacle;
+        if (!decision.m_plan && !decision.m_tooLate)
             return false;
         queueOf(prompt).erase(prompt.m_key);
-        prompt.m_fate.m_wait = now - request.m_arrival;
-        if (look.m_plan)
-            place(prompt, index, *look.m_plan, now);
+        prompt.m_outcome.m_wait = now - request.m_arrival;
+        if (decision.m_plan)
+            place(prompt, index, *decision.m_plan, now);
         return true;
     }
 
     void place(Prompt &prompt, size_t index, const GangPlan &plan, TimePoint now)
     {
-        prompt.m_fate.m_begun = true;
+        prompt.m_outcome.m_started = true;
         prompt.m_partsLeft = plan.m_members.size();
         prompt.m_engine = m_indexes.at(plan.m_members.front().m_endpoint.m_id);
         AttemptLoad load{
@@ -268,7 +269,7 @@
                 beginPass(engine, now);
         }
         m_ledger.place(prompt.m_key, std::move(load));
-        m_pictures = {};
+        m_poolViews = {};
     }
 
     void runEngines(TimePoint until)
@@ -289,71 +290,73 @@
     void beginPass(size_t index, TimePoint now)
     {
         Engine &engine = m_engines[index];
-        engine.m_reading = std::move(engine.m_waiting);
+        engine.m_prefilling = std::move(engine.m_waiting);
         engine.m_waiting.clear();
-        engine.m_writing = engine.m_writers;
-        if (engine.m_reading.empty() && engine.m_writing.empty()) {
+        engine.m_decodingNow = engine.m_decodingStreams;
+        if (engine.m_prefilling.empty() && engine.m_decodingNow.empty()) {
             engine.m_passEnd.reset();
             return;
         }
-        FloatMillis writing{ 0 };
-        if (!engine.m_writing.empty())
-            writing = passTime(m_load.m_costs, static_cast<uint32_t>(engine.m_writing.size()),
-                               engine.m_context);
-        FloatMillis reading{ 0 };
-        for (const Part &part : engine.m_reading)
-            reading += part.m_read;
-        engine.m_passEnd = now + std::chrono::duration_cast<Duration>(writing + reading);
+        FloatMillis decoding{ 0 };
+        if (!engine.m_decodingNow.empty())
+            decoding = passTime(m_load.m_costs, static_cast<uint32_t>(engine.m_decodingNow.size()),
+                                engine.m_context);
+        FloatMillis prefilling{ 0 };
+        for (const Part &part : engine.m_prefilling)
+            prefilling += part.m_prefill;
+        engine.m_passEnd = now + std::chrono::duration_cast<Duration>(decoding + prefilling);
         if (now < Start + m_load.m_length) {
-            m_time.m_writing += secondsOf(writing);
-            m_time.m_reading += secondsOf(reading);
+            m_time.m_decoding += secondsOf(decoding);
+            m_time.m_prefilling += secondsOf(prefilling);
         }
     }
 
-    /// The pass counts as going on until all that it did is told: the next one begins with that.
+    /// The engine counts as busy until all results of the pass are processed, so that these do not
+    /// start another pass.
     void endPass(size_t index)
     {
         const TimePoint now = *m_engines[index].m_passEnd;
-        for (const size_t prompt : m_engines[index].m_writing)
-            writeEvent(m_prompts[prompt], prompt, now);
-        for (const Part &part : m_engines[index].m_reading) {
+        for (const size_t prompt : m_engines[index].m_decodingNow)
+            emitEvent(m_prompts[prompt], prompt, now);
+        for (const Part &part : m_engines[index].m_prefilling) {
             Prompt &prompt = m_prompts[part.m_prompt];
             if (--prompt.m_partsLeft == 0)
-                beginToWrite(prompt, part.m_prompt, now);
+                beginDecoding(prompt, part.m_prompt, now);
         }
         beginPass(index, now);
     }
 
-    void beginToWrite(Prompt &prompt, size_t index, TimePoint now)
+    void beginDecoding(Prompt &prompt, size_t index, TimePoint now)
     {
         Engine &engine = m_engines[prompt.m_engine];
-        engine.m_writers.push_back(index);
+        engine.m_decodingStreams.push_back(index);
         engine.m_context += prompt.m_request.m_promptTokens;
         if (!engine.m_passEnd)
             beginPass(prompt.m_engine, now);
     }
 
-    void writeEvent(Prompt &prompt, size_t index, TimePoint now)
+    void emitEvent(Prompt &prompt, size_t index, TimePoint now)
     {
         const ModelRequest &request = prompt.m_request;
         const bool first = prompt.m_lastEvent == TimePoint{};
         const Duration silence = now - (first ? request.m_arrival : prompt.m_lastEvent);
-        prompt.m_left = prompt.m_left || silence > request.m_patience || now > request.m_deadline;
+        prompt.m_callerGone =
+            prompt.m_callerGone || silence > request.m_patience || now > request.m_deadline;
         if (first) {
             m_ledger.startWriting(prompt.m_key);
-            prompt.m_fate.m_inAim = silence <= request.m_aim;
+            prompt.m_outcome.m_inTarget = silence <= request.m_aim;
         } else if (silence > Millis(request.m_gapLimitMs)) {
-            prompt.m_fate.m_inAim = false;
+            prompt.m_outcome.m_inTarget = false;
         }
         prompt.m_lastEvent = now;
-        if (--prompt.m_eventsLeft > 0 && !prompt.m_left)
+        if (--prompt.m_eventsLeft > 0 && !prompt.m_callerGone)
             return;
         Engine &engine = m_engines[prompt.m_engine];
-        std::erase(engine.m_writers, index);
+        std::erase(engine.m_decodingStreams, index);
         engine.m_context -= request.m_promptTokens;
         m_ledger.end(prompt.m_key);
-        prompt.m_fate.m_served = !prompt.m_left;
-        prompt.m_fate.m_inAim = prompt.m_fate.m_inAim && prompt.m_fate.m_served;
+        prompt.m_outcome.m_served = !prompt.m_callerGone;
+        prompt.m_outcome.m_inTarget = prompt.m_outcome.m_inTarget && prompt.m_outcome.m_served;
     }
 
     const PoolLoad &m_load;
@@ -368,39 +371,41 @@
     TurnQueue m_strictQueue;
     TurnQueue m_longQueue;
     PoolSplit m_split;
-    std::array<std::optional<Picture>, 2> m_pictures; ///< Of long and of strict streams.
-    TimePoint m_drawnAt{};
+    std::array<std::optional<PoolView>, 2>
+        m_poolViews; ///< Indexed by whether the stream is strict.
+    TimePoint m_poolViewAt{};
     EngineTime m_time;
 };
 
-double servedShare(const std::vector<PromptFate> &fates, size_t from, size_t to)
+double servedShare(const std::vector<PromptOutcome> &outcomes, size_t from, size_t to)
 {
     if (from >= to)
         return 1;
-    const auto served = std::count_if(fates.begin() + static_cast<std::ptrdiff_t>(from),
-                                      fates.begin() + static_cast<std::ptrdiff_t>(to),
-                                      [](const PromptFate &fate) { return fate.m_served; });
+    const auto served =
+        std::count_if(outcomes.begin() + static_cast<std::ptrdiff_t>(from),
+                      outcomes.begin() + static_cast<std::ptrdiff_t>(to),
+                      [](const PromptOutcome &outcome) { return outcome.m_served; });
     return static_cast<double>(served) / static_cast<double>(to - from);
 }
 
 } // namespace
 
-PoolPlay playPool(const PoolLoad &load, uint64_t seed)
+PoolRun simulatePool(const PoolLoad &load, uint64_t seed)
 {
     return PoolSim(load, seed).play();
 }
 
-ServedShares servedShares(const std::vector<PromptFate> &fates, size_t kind)
+ServedShares servedShares(const std::vector<PromptOutcome> &outcomes, size_t kind)
 {
-    std::vector<PromptFate> own;
-    std::copy_if(fates.begin(), fates.end(), std::back_inserter(own),
-                 [kind](const PromptFate &fate) { return fate.m_kind == kind; });
-    std::sort(own.begin(), own.end(), [](const PromptFate &left, const PromptFate &right) {
+    std::vector<PromptOutcome> own;
+    std::copy_if(outcomes.begin(), outcomes.end(), std::back_inserter(own),
+                 [kind](const PromptOutcome &outcome) { return outcome.m_kind == kind; });
+    std::sort(own.begin(), own.end(), [](const PromptOutcome &left, const PromptOutcome &right) {
         return left.m_tokens > right.m_tokens;
     });
     const size_t tenth = own.size() / 10;
-    const auto inAim =
-        std::count_if(own.begin(), own.end(), [](const PromptFate &fate) { return fate.m_inAim; });
+    const auto inAim = std::count_if(
+        own.begin(), own.end(), [](const PromptOutcome &outcome) { return outcome.m_inTarget; });
     return { servedShare(own, 0, own.size()), servedShare(own, 0, tenth),
              servedShare(own, tenth, 3 * tenth),
              static_cast<double>(inAim) / std::max<double>(1, static_cast<double>(own.size())),
--- a/tests/policy/pool_sim.h
+++ b/tests/policy/pool_sim.h
@@ -1,9 +1,9 @@
-/// A pool of engines in virtual time, on which model requests are placed by the decisions of the
-/// product: queue, division of the pool, choice of engines, ledger.
+/// Simulates a pool of engines in virtual time. The scheduling code of the product places the model
+/// requests: the queue, the split of the pool, the choice of engines, and the ledger.
 ///
-/// An engine works in passes: it takes all parts that wait, reads them, and writes one event for
-/// each of its streams; a stream's pause is the pass. All VMs of the pool see the same ledger at
-/// once, so that the figures are of the decisions alone.
+/// An engine works in passes: it prefills all waiting parts and emits one event for each of its
+/// streams, so the gap of a stream is the duration of a pass. All VMs of the pool see the same
+/// ledger without delay, so the results depend on the scheduling decisions alone.
 #pragma once
 
 #include <vector>
@@ -12,18 +12,18 @@
 
 namespace stackquay {
 
-/// Prompts of one route.
+/// Distribution of the prompts of one route.
 struct PromptKind {
     double m_meanTokens = 0;
     double m_spread = 0; ///< Standard deviation of the logarithm.
-    double m_mostTokens = 0;
-    Millis m_aim{};
-    uint32_t m_gapLimitMs = 0;
+    double m_maxTokens = 0;
+    Millis m_aim{}; ///< Latency target of the first event.
+    uint32_t m_gapLimitMs = 0; ///< Longest tolerated gap between events.
     Millis m_deadline{};
     double m_meanEvents = 1;
-    double m_perSecond = 0;
-    double m_worth = 1; ///< Of one of mean size, answered within its aim.
-    double m_lateWorth = 0; ///< Answered later.
+    double m_perSecond = 0; ///< Mean arrival rate.
+    double m_worth = 1; ///< Value of a prompt of mean size that is answered in time.
+    double m_lateWorth = 0; ///< Value if it is answered later.
 };
 
 struct PoolLoad {
@@ -31,57 +31,59 @@
     size_t m_engines = 0;
     std::vector<PromptKind> m_kinds;
     Duration m_length{};
-    Duration m_phase{}; ///< Rates change between phases.
-    /// Rates of the kinds in each phase, as factors; the phases repeat.
+    Duration m_phase{}; ///< Length of a phase; rates change between phases.
+    /// For each phase, a factor on the arrival rate of each kind. The phases repeat.
     std::vector<std::vector<double>> m_phases;
-    // The ways of deciding that are played.
+    // Settings of the scheduling code.
     TurnSettings m_turns{};
     GangSettings m_gang{};
 };
 
-struct PromptFate {
+/// What happened to one prompt.
+struct PromptOutcome {
     size_t m_kind = 0;
     double m_tokens = 0;
-    bool m_begun = false;
-    bool m_served = false; ///< Its caller had the whole answer.
-    bool m_inAim = false; ///< And in time, with bearable pauses.
+    bool m_started = false;
+    bool m_served = false; ///< Its caller received the complete answer.
+    bool m_inTarget = false; ///< And in time, with all gaps within the limit.
     TimePoint m_arrival{};
-    Duration m_wait{}; ///< From its arrival to its beginning or its refusal.
-    TurnObstacle m_obstacle = TurnObstacle::None; ///< If it was refused: why.
+    Duration m_wait{}; ///< From its arrival to its start or refusal.
+    TurnObstacle m_obstacle = TurnObstacle::None; ///< Reason of a refusal.
 };
 
-/// What the engines did, in seconds of one engine.
+/// How the engines spent their time, in engine seconds.
 struct EngineTime {
-    double m_reading = 0;
-    double m_writing = 0;
+    double m_prefilling = 0;
+    double m_decoding = 0;
     double m_idle = 0;
-    double m_idleInNeed = 0; ///< Of that, while a prompt waited.
+    double m_idleWhileWaiting = 0; ///< Of m_idle, while a prompt was waiting.
 };
 
-struct PoolPlay {
-    std::vector<PromptFate> m_fates; ///< Of all prompts that came, in their order.
+/// Result of a simulation.
+struct PoolRun {
+    std::vector<PromptOutcome> m_outcomes; ///< Of all prompts, in the order of their arrival.
     EngineTime m_time;
 };
 
-PoolPlay playPool(const PoolLoad &load, uint64_t seed);
+PoolRun simulatePool(const PoolLoad &load, uint64_t seed);
 
-/// Worth of one prompt that is answered in time, or late: larger ones are worth more.
+/// Value of one answered prompt of @p tokens; larger ones are worth more.
 double worthOf(const PromptKind &kind, double tokens, bool inTime);
-/// Worth earned, as a share of what all prompts of @p fates could earn.
-double earnedShare(const PoolLoad &load, const std::vector<PromptFate> &fates);
-/// No schedule of any kind earns a greater share: each prompt takes at least its reading out of the
-/// time of all engines between its arrival and its aim. Neither writing, memory, pauses nor the
-/// bound of engines that read together is counted.
-double mostEarnedShare(const PoolLoad &load, const std::vector<PromptFate> &fates);
+/// Value earned, as a fraction of the value of all prompts of @p outcomes if answered in time.
+double earnedShare(const PoolLoad &load, const std::vector<PromptOutcome> &outcomes);
+/// Upper bound of earnedShare() for any schedule. Each prompt uses at least its prefill time of the
+/// engines between its arrival and its latency target. Decoding, memory, gap limits and the maximum
+/// number of engines for one prompt are not taken into account.
+double maxEarnedShare(const PoolLoad &load, const std::vector<PromptOutcome> &outcomes);
 
-/// How many of a kind were served, whole and for its largest tenth and the fifth below it.
+/// Served fraction of the prompts of one kind: all, the largest tenth, and the fifth below it.
 struct ServedShares {
     double m_all = 0;
     double m_largestTenth = 0;
     double m_nextFifth = 0;
-    double m_inAim = 0; ///< Of all.
+    double m_inTarget = 0; ///< In time, as a fraction of all.
     size_t m_count = 0;
 };
-ServedShares servedShares(const std::vector<PromptFate> &fates, size_t kind);
+ServedShares servedShares(const std::vector<PromptOutcome> &outcomes, size_t kind);
 
 } // namespace stackquay
--- a/tests/policy/pool_worth.cpp
+++ b/tests/policy/pool_worth.cpp
@@ -1,4 +1,4 @@
-/// What the prompts of a simulated pool earn, and the most that any schedule could.
+/// Value earned in a simulated pool, and an upper bound for any schedule.
 #include <algorithm>
 #include <cmath>
 
@@ -8,22 +8,22 @@
 
 namespace {
 
-/// Of a prompt's worth this part is the same for all sizes (the users' pages).
-constexpr double SizelessShare = 0.3;
-constexpr double MostSizes = 4;
+/// Fraction of a prompt's value that does not depend on its size, as in the users' specification.
+constexpr double SizeIndependentShare = 0.3;
+constexpr double MaxSizeFactor = 4;
 
-/// Moments at which the bound looks.
+/// Time step of the upper bound.
 constexpr Millis Grid{ 200 };
 
-/// Work that has to be done between two moments of the grid, to earn its worth.
+/// Work that earns its value if it is done between two grid points.
 struct Job {
     size_t m_from = 0;
     size_t m_to = 0;
-    double m_seconds = 0; ///< Of one engine.
+    double m_seconds = 0; ///< Of engine time.
     double m_worth = 0;
 };
 
-/// Engine time that is still free between any two moments of the grid.
+/// Free engine time between any two grid points.
 class FreeTime
 {
 public:
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Takes as much of @p job as fits beside what was taken before, and returns it as a share.
+    /// Schedules as much of @p job as fits beside the earlier jobs, and returns that fraction of
+    /// it.
     double take(const Job &job)
     {
         double least = job.m_seconds;
@@ -65,27 +66,28 @@
 double worthOf(const PromptKind &kind, double tokens, bool inTime)
 {
     const double size =
-        std::min(SizelessShare + (1 - SizelessShare) * tokens / kind.m_meanTokens, MostSizes);
+        std::min(SizeIndependentShare + (1 - SizeIndependentShare) * tokens / kind.m_meanTokens,
+                 MaxSizeFactor);
     return size * (inTime ? kind.m_worth : kind.m_lateWorth);
 }
 
-double earnedShare(const PoolLoad &load, const std::vector<PromptFate> &fates)
+double earnedShare(const PoolLoad &load, const std::vector<PromptOutcome> &outcomes)
 {
     double owed = 0;
     double earned = 0;
-    for (const PromptFate &fate : fates) {
-        const PromptKind &kind = load.m_kinds[fate.m_kind];
-        owed += worthOf(kind, fate.m_tokens, true);
-        earned += fate.m_served ? worthOf(kind, fate.m_tokens, fate.m_inAim) : 0;
+    for (const PromptOutcome &outcome : outcomes) {
+        const PromptKind &kind = load.m_kinds[outcome.m_kind];
+        owed += worthOf(kind, outcome.m_tokens, true);
+        earned += outcome.m_served ? worthOf(kind, outcome.m_tokens, outcome.m_inTarget) : 0;
     }
     return owed > 0 ? earned / owed : 1;
 }
 
-double mostEarnedShare(const PoolLoad &load, const std::vector<PromptFate> &fates)
+double maxEarnedShare(const PoolLoad &load, const std::vector<PromptOutcome> &outcomes)
 {
-    if (fates.empty())
+    if (outcomes.empty())
         return 1;
-    const TimePoint start = fates.front().m_arrival;
+    const TimePoint start = outcomes.front().m_arrival;
     const auto momentOf = [start](TimePoint at) {
         return static_cast<size_t>((at - start) / Grid);
     };
@@ -93,21 +95,21 @@
     double owed = 0;
     double earned = 0;
     size_t last = 0;
-    for (const PromptFate &fate : fates) {
-        const PromptKind &kind = load.m_kinds[fate.m_kind];
-        const double late = worthOf(kind, fate.m_tokens, false);
-        const double full = worthOf(kind, fate.m_tokens, true);
+    for (const PromptOutcome &outcome : outcomes) {
+        const PromptKind &kind = load.m_kinds[outcome.m_kind];
+        const double late = worthOf(kind, outcome.m_tokens, false);
+        const double full = worthOf(kind, outcome.m_tokens, true);
         owed += full;
-        // As if being late cost nothing of the engines' time.
+        // The bound assumes that late answers need no engine time.
         earned += late;
-        // Rounded outwards, so that no job has less time than its prompt.
-        const Job job{ momentOf(fate.m_arrival), momentOf(fate.m_arrival + kind.m_aim) + 1,
-                       readTime(load.m_costs, fate.m_tokens) / FloatMillis(Seconds(1)),
+        // Rounded outwards, so that no job has a shorter interval than its prompt.
+        const Job job{ momentOf(outcome.m_arrival), momentOf(outcome.m_arrival + kind.m_aim) + 1,
+                       prefillDuration(load.m_costs, outcome.m_tokens) / FloatMillis(Seconds(1)),
                        full - late };
         last = std::max(last, job.m_to);
         jobs.push_back(job);
     }
-    // What can be done together is a polymatroid: taking the dearest first is best.
+    // The feasible sets form a polymatroid, so the greedy order by value per time is optimal.
     std::sort(jobs.begin(), jobs.end(), [](const Job &left, const Job &right) {
         return left.m_worth * right.m_seconds > right.m_worth * left.m_seconds;
     });
--- a/tests/policy/pool_worth_test.cpp
+++ b/tests/policy/pool_worth_test.cpp
@@ -1,4 +1,4 @@
-/// What the decisions earn on each declared load, beside what no schedule can exceed.
+/// Value that the scheduling earns on each declared load, compared with its upper bound.
 #include <cstdlib>
 
 #include <fmt/format.h>
@@ -21,31 +21,31 @@
     return load;
 }
 
-PromptFate arrivedAt(Millis at)
+PromptOutcome arrivedAt(Millis at)
 {
-    PromptFate fate;
-    fate.m_tokens = 1'000;
-    fate.m_arrival = TimePoint{ at };
-    return fate;
+    PromptOutcome outcome;
+    outcome.m_tokens = 1'000;
+    outcome.m_arrival = TimePoint{ at };
+    return outcome;
 }
 
-TEST(PoolWorthTest, BoundCountsTheTimeBetweenArrivalAndAim)
+TEST(PoolWorthTest, BoundUsesTheTimeBetweenArrivalAndTarget)
 {
     const PoolLoad load = oneEngine();
-    // Each reads for a second within the step of the grid that its aim falls into.
-    EXPECT_NEAR(mostEarnedShare(load, { arrivedAt(Millis(0)) }), 1, 1e-9);
-    EXPECT_NEAR(mostEarnedShare(load, { arrivedAt(Millis(0)), arrivedAt(Millis(0)) }), 0.6, 1e-9);
-    EXPECT_NEAR(mostEarnedShare(load, { arrivedAt(Millis(0)), arrivedAt(Millis(2'000)) }), 1, 1e-9);
+    // Each prefill takes a second; the interval ends at the grid point after the latency target.
+    EXPECT_NEAR(maxEarnedShare(load, { arrivedAt(Millis(0)) }), 1, 1e-9);
+    EXPECT_NEAR(maxEarnedShare(load, { arrivedAt(Millis(0)), arrivedAt(Millis(0)) }), 0.6, 1e-9);
+    EXPECT_NEAR(maxEarnedShare(load, { arrivedAt(Millis(0)), arrivedAt(Millis(2'000)) }), 1, 1e-9);
 }
 
-TEST(PoolWorthTest, BoundTakesTheDearestFirst)
+TEST(PoolWorthTest, BoundPrefersTheHighestValue)
 {
     PoolLoad load = oneEngine();
     load.m_kinds.push_back(load.m_kinds.front());
     load.m_kinds.back().m_worth = 9;
-    PromptFate dear = arrivedAt(Millis(0));
-    dear.m_kind = 1;
-    EXPECT_NEAR(mostEarnedShare(load, { arrivedAt(Millis(0)), dear }), (9 + 0.2) / 10, 1e-9);
+    PromptOutcome valuable = arrivedAt(Millis(0));
+    valuable.m_kind = 1;
+    EXPECT_NEAR(maxEarnedShare(load, { arrivedAt(Millis(0)), valuable }), (9 + 0.2) / 10, 1e-9);
 }
 
 TEST(PoolWorthTest, LargePromptsAreWorthMore)
@@ -59,25 +59,26 @@
     EXPECT_NEAR(worthOf(kind, 100'000, true), 40, 1e-9);
 }
 
-/// The part of the engines' time that may be idle while a prompt waits.
-constexpr double MostIdleInNeed = 0.1;
+/// Maximum fraction of the engine time that may be idle while a prompt waits.
+constexpr double MaxIdleWhileWaiting = 0.1;
 
-TEST(PoolWorthTest, EnginesAreNotIdleWhileSomebodyWaitsOnAnyDeclaredLoad)
+TEST(PoolWorthTest, EnginesAreRarelyIdleWhilePromptsWaitOnAnyDeclaredLoad)
 {
-    const char *asked = std::getenv("STACKQUAY_SEEDS");
-    const uint64_t seeds = asked ? std::strtoull(asked, nullptr, 10) : 1;
+    const char *seedsText = std::getenv("STACKQUAY_SEEDS");
+    const uint64_t seeds = seedsText ? std::strtoull(seedsText, nullptr, 10) : 1;
     for (const auto &[name, load] : declaredLoads()) {
         for (uint64_t seed = 1; seed <= seeds; ++seed) {
-            const PoolPlay play = playPool(load, seed);
-            const double earned = earnedShare(load, play.m_fates);
-            const double most = mostEarnedShare(load, play.m_fates);
-            const double all = play.m_time.m_reading + play.m_time.m_writing + play.m_time.m_idle;
-            const double idle = play.m_time.m_idleInNeed / all;
+            const PoolRun play = simulatePool(load, seed);
+            const double earned = earnedShare(load, play.m_outcomes);
+            const double most = maxEarnedShare(load, play.m_outcomes);
+            const double all =
+                play.m_time.m_prefilling + play.m_time.m_decoding + play.m_time.m_idle;
+            const double idle = play.m_time.m_idleWhileWaiting / all;
             fmt::print("worth: load=\"{}\" seed={} earned={:.3f} most={:.3f} reading={:.3f} "
                        "idle_in_need={:.3f}\n",
-                       name, seed, earned, most, play.m_time.m_reading / all, idle);
+                       name, seed, earned, most, play.m_time.m_prefilling / all, idle);
             EXPECT_LE(earned, most) << name;
-            EXPECT_LE(idle, MostIdleInNeed) << name;
+            EXPECT_LE(idle, MaxIdleWhileWaiting) << name;
         }
     }
 }
--- a/tests/policy/size_fairness_test.cpp
+++ b/tests/policy/size_fairness_test.cpp
@@ -1,9 +1,9 @@
-/// The largest prompts of a kind were served half as often as the whole kind, and less.
+/// Guards against serving the largest prompts of a kind much less often than the whole kind.
 ///
-/// Users saw on a large fleet, in phases of many long prompts, that of the largest tenth of their
-/// longest kind 0.35 were served, of all 0.86. Nothing had failed: engines had memory, no stream
-/// was in the way, and nine in ten prompts were answered. The largest came, waited about as long as
-/// others, and were refused as too late because "others came first".
+/// In phases with many long prompts on a large fleet, 0.35 of the largest tenth of the longest kind
+/// were served, but 0.86 of all. Engines had memory, no stream prevented a start, and nine in ten
+/// prompts were answered. The largest prompts waited about as long as others and were then refused
+/// as too late because "others came first".
 #include <cmath>
 #include <cstdlib>
 #include <random>
@@ -16,15 +16,15 @@
 namespace stackquay {
 namespace {
 
-/// The users' bound, and our own aim: of the largest tenth, and of the fifth below it, this part of
-/// what is served of the whole kind.
-constexpr double LeastOfTheKind = 0.5;
-constexpr double AimOfTheKind = 0.8;
+/// Served fraction of a size class, relative to the whole kind: the bound that the users require
+/// for each class, and the stricter target for the largest tenth.
+constexpr double MinServedRatio = 0.5;
+constexpr double TargetServedRatio = 0.8;
 
 enum Kind : size_t { Short = 0, Middle = 1, Long = 2 };
 
-/// The share of 300 VMs before 150 engines that one cell of four has, with phases of many long
-/// prompts between phases of many short ones.
+/// One of the four cells of 300 VMs with 150 engines, with phases of many long prompts between
+/// phases of many short ones.
 PoolLoad cellLoad()
 {
     PoolLoad load;
@@ -40,10 +40,10 @@
     return load;
 }
 
-/// A pool of 30 to 80 engines, as one cell or a whole small fleet has, with other engines, prompts,
-/// targets and rates; in phases of long prompts these ask for 0.45 to 0.8 of the engines' time to
-/// be read alone, and for a third and more besides to be written.
-PoolLoad drawLoad(uint64_t seed)
+/// A random load on a pool of 30 to 80 engines, the size of one cell or of a small fleet. Engine
+/// costs, prompts, latency targets and rates vary. In phases of long prompts, their prefill alone
+/// takes 0.45 to 0.8 of the engine time, and decoding a third or more in addition.
+PoolLoad randomLoad(uint64_t seed)
 {
     std::mt19937_64 random(seed);
     const auto between = [&random](double least, double most) {
@@ -58,12 +58,13 @@
     load.m_costs.m_perMillionPairs = FloatMillis(between(0.08, 0.16));
     PromptKind &longKind = load.m_kinds[Long];
     longKind.m_meanTokens = between(130'000, 230'000);
-    longKind.m_mostTokens = longKind.m_meanTokens * 3;
+    longKind.m_maxTokens = longKind.m_meanTokens * 3;
     longKind.m_spread = between(0.4, 0.6);
     longKind.m_aim = Millis(static_cast<int64_t>(between(2'500, 4'000)));
     const auto engines = static_cast<double>(load.m_engines);
     const double spread = std::exp(longKind.m_spread * longKind.m_spread);
-    const double readMs = readTime(load.m_costs, longKind.m_meanTokens).count() * (1 + spread) / 2;
+    const double readMs =
+        prefillDuration(load.m_costs, longKind.m_meanTokens).count() * (1 + spread) / 2;
     const double phase = load.m_phases[0][Long];
     longKind.m_perSecond = between(0.45, 0.8) * engines * 1'000 / readMs / phase;
     load.m_kinds[Short].m_perSecond *= engines / 37;
@@ -76,39 +77,39 @@
     fmt::print("sizes: load={} kind={} prompts={} served={:.3f} largest_tenth={:.3f} "
                "next_fifth={:.3f} in_aim={:.3f}\n",
                load, kind, served.m_count, served.m_all, served.m_largestTenth, served.m_nextFifth,
-               served.m_inAim);
+               served.m_inTarget);
 }
 
 TEST(SizeFairnessTest, TheLargestAreServedAsOftenAsTheirKind)
 {
-    std::vector<PromptFate> fates;
+    std::vector<PromptOutcome> outcomes;
     for (uint64_t seed = 1; seed <= 4; ++seed) {
-        const auto played = playPool(cellLoad(), seed).m_fates;
-        fates.insert(fates.end(), played.begin(), played.end());
+        const auto played = simulatePool(cellLoad(), seed).m_outcomes;
+        outcomes.insert(outcomes.end(), played.begin(), played.end());
     }
     for (const size_t kind : { Short, Middle, Long })
-        print("cell", kind, servedShares(fates, kind));
-    const ServedShares served = servedShares(fates, Long);
-    EXPECT_GE(served.m_largestTenth, AimOfTheKind * served.m_all)
+        print("cell", kind, servedShares(outcomes, kind));
+    const ServedShares served = servedShares(outcomes, Long);
+    EXPECT_GE(served.m_largestTenth, TargetServedRatio * served.m_all)
         << "of " << served.m_count << " served " << served.m_all;
-    EXPECT_GE(served.m_nextFifth, LeastOfTheKind * served.m_all);
+    EXPECT_GE(served.m_nextFifth, MinServedRatio * served.m_all);
 }
 
-/// Some in CI; STACKQUAY_DRAWN_LOADS plays more by hand.
+/// A few random loads by default; STACKQUAY_DRAWN_LOADS sets a larger number.
 TEST(SizeFairnessTest, NoSizeIsServedLessThanHalfAsOftenAsItsKindOnAnyLoad)
 {
-    const char *asked = std::getenv("STACKQUAY_DRAWN_LOADS");
-    const uint64_t loads = asked ? std::strtoull(asked, nullptr, 10) : 4;
+    const char *loadsText = std::getenv("STACKQUAY_DRAWN_LOADS");
+    const uint64_t loads = loadsText ? std::strtoull(loadsText, nullptr, 10) : 4;
     for (uint64_t seed = 1; seed <= loads; ++seed) {
-        const PoolLoad load = drawLoad(seed);
-        const auto fates = playPool(load, seed).m_fates;
+        const PoolLoad load = randomLoad(seed);
+        const auto outcomes = simulatePool(load, seed).m_outcomes;
         for (const size_t kind : { Middle, Long }) {
-            const ServedShares served = servedShares(fates, kind);
+            const ServedShares served = servedShares(outcomes, kind);
             print(std::to_string(seed), kind, served);
-            EXPECT_GE(served.m_largestTenth, LeastOfTheKind * served.m_all)
+            EXPECT_GE(served.m_largestTenth, MinServedRatio * served.m_all)
                 << "load " << seed << ", kind " << kind << ": of " << served.m_count << " served "
                 << served.m_all;
-            EXPECT_GE(served.m_nextFifth, LeastOfTheKind * served.m_all)
+            EXPECT_GE(served.m_nextFifth, MinServedRatio * served.m_all)
                 << "load " << seed << ", kind " << kind;
         }
     }
--- a/tests/policy/stream_ledger_test.cpp
+++ b/tests/policy/stream_ledger_test.cpp
@@ -19,8 +19,8 @@
     return load;
 }
 
-// An endpoint that starts again has neither the streams nor the memory of before.
-TEST(StreamLedgerTest, EndpointThatStartsAgainHoldsNothing)
+// A restarted endpoint has lost its streams and the memory that they used.
+TEST(StreamLedgerTest, RestartedEndpointHasNoLoad)
 {
     StreamLedger ledger;
     ledger.place({ 1, 1 }, attemptAt({ "a", "b" }));
