--- a/policy/engine_room.cpp
+++ b/policy/engine_room.cpp
@@ -29,14 +29,14 @@
 
 EngineCandidate candidateFor(const CandidateSettings &settings, const EngineCosts &costs,
                              const EndpointRecord &endpoint, const EndpointUses &uses,
-                             const CandidateQuery &question)
+                             const CandidateQuery &query)
 {
     EngineCandidate candidate;
     candidate.m_endpoint = &endpoint;
     candidate.m_use = useOf(uses, endpoint.m_id);
     const EndpointUse &use = candidate.m_use;
-    const double far = endpoint.m_dataCentre == question.m_dataCentre ? 0 : RemoteCostMs;
-    const double draw = question.m_draw ? question.m_draw() * MaxJitterCostMs : 0;
+    const double far = endpoint.m_dataCentre == query.m_dataCentre ? 0 : RemoteCostMs;
+    const double draw = query.m_draw ? query.m_draw() * MaxJitterCostMs : 0;
     const double full = use.m_attempts >= costs.m_slots ? FullEngineCostMs : 0;
     candidate.m_prefillCost = use.m_readBacklogMs + far;
     candidate.m_answerCost = candidate.m_prefillCost + AttemptCostMs * use.m_attempts + full + draw;
@@ -65,13 +65,12 @@
 std::vector<EngineCandidate> engineCandidates(const CandidateSettings &settings,
                                               const EngineCosts &costs,
                                               const std::vector<EndpointRecord> &endpoints,
-                                              const EndpointUses &uses,
-                                              const CandidateQuery &question)
+                                              const EndpointUses &uses, const CandidateQuery &query)
 {
     std::vector<EngineCandidate> candidates;
     candidates.reserve(endpoints.size());
     for (const EndpointRecord &endpoint : endpoints)
-        candidates.push_back(candidateFor(settings, costs, endpoint, uses, question));
+        candidates.push_back(candidateFor(settings, costs, endpoint, uses, query));
     return candidates;
 }
 
--- a/policy/engine_room.h
+++ b/policy/engine_room.h
@@ -53,7 +53,7 @@
                                               const EngineCosts &costs,
                                               const std::vector<EndpointRecord> &endpoints,
                                               const EndpointUses &uses,
-                                              const CandidateQuery &question);
+                                              const CandidateQuery &query);
 
 /// Orders candidates by the cost of prefilling a part of a prompt.
 bool hasLowerPrefillCost(const EngineCandidate &left, const EngineCandidate &right);
--- a/policy/gang_plan.cpp
+++ b/policy/gang_plan.cpp
@@ -72,25 +72,25 @@
 }
 
 LongPrompt promptOf(const GangSettings &settings, const EngineCosts &costs,
-                    const GangQuestion &question)
+                    const GangQuestion &query)
 {
-    const double tokens = question.m_promptTokens + question.m_answerTokens;
-    return { tokens, prefillDuration(costs, question.m_promptTokens),
+    const double tokens = query.m_promptTokens + query.m_answerTokens;
+    return { tokens, prefillDuration(costs, query.m_promptTokens),
              tokens > usableTokens(settings.m_candidates, costs) };
 }
 
 std::optional<GangPlan> planStrict(const GangSettings &settings, const EngineCosts &costs,
                                    const GangSides &sides, const EndpointUses &uses,
-                                   const GangQuestion &question)
+                                   const GangQuestion &query)
 {
     PrefillGroup group;
     std::vector<EngineCandidate> &engines = group.m_engines;
     engines =
         engineCandidates(settings.m_candidates, costs,
-                         sides.m_own.empty() ? sides.m_other : sides.m_own, uses, question.m_rooms);
+                         sides.m_own.empty() ? sides.m_other : sides.m_own, uses, query.m_rooms);
     if (engines.empty())
         return std::nullopt;
-    const LongPrompt prompt = promptOf(settings, costs, question);
+    const LongPrompt prompt = promptOf(settings, costs, query);
     std::swap(engines[0], engines[chooseAnswerer(engines, prompt.m_tokens)]);
     std::stable_sort(engines.begin() + 1, engines.end(), hasLowerPrefillCost);
     const size_t width = maxPrefillEngines(settings.m_prefillGroup, engines.size(),
@@ -105,11 +105,11 @@
 /// prompt is small enough; then all engines, if that takes too long.
 std::optional<PrefillGroup> longPrefillGroup(const GangSettings &settings, const EngineCosts &costs,
                                              const GangSides &sides, const EndpointUses &uses,
-                                             const GangQuestion &question, const LongPrompt &prompt)
+                                             const GangQuestion &query, const LongPrompt &prompt)
 {
     const auto byCost = [&](const std::vector<EndpointRecord> &endpoints) {
         auto candidates =
-            engineCandidates(settings.m_candidates, costs, endpoints, uses, question.m_rooms);
+            engineCandidates(settings.m_candidates, costs, endpoints, uses, query.m_rooms);
         std::stable_sort(candidates.begin(), candidates.end(), hasLowerPrefillCost);
         return candidates;
     };
@@ -127,10 +127,10 @@
     }
     const auto soonest = [&](const std::vector<EngineCandidate> &candidates) {
         return fastestPrefillGroup(settings.m_prefillGroup, costs, candidates, prompt,
-                                   question.m_disruption);
+                                   query.m_disruption);
     };
     auto group = soonest(engines);
-    if (group && group->m_firstEvent <= question.m_timeLeft * settings.m_maxOwnSideShare)
+    if (group && group->m_firstEvent <= query.m_timeLeft * settings.m_maxOwnSideShare)
         return group;
     engines = own;
     engines.insert(engines.end(), others.begin(), others.end());
@@ -141,22 +141,22 @@
 
 std::optional<GangPlan> planGang(const GangSettings &settings, const EngineCosts &costs,
                                  const GangSides &sides, const EndpointUses &uses,
-                                 const GangQuestion &question)
+                                 const GangQuestion &query)
 {
-    if (question.strict())
-        return planStrict(settings, costs, sides, uses, question);
-    const LongPrompt prompt = promptOf(settings, costs, question);
-    const auto group = longPrefillGroup(settings, costs, sides, uses, question, prompt);
+    if (query.strict())
+        return planStrict(settings, costs, sides, uses, query);
+    const LongPrompt prompt = promptOf(settings, costs, query);
+    const auto group = longPrefillGroup(settings, costs, sides, uses, query, prompt);
     if (!group)
         return std::nullopt;
     GangPlan plan = planOf(*group, prompt);
     if (!prompt.m_needsSeveralEngines)
         return plan;
-    const double answer = question.m_answerTokens;
+    const double answer = query.m_answerTokens;
     const double held = std::min(group->m_engines[0].m_freeTokens, prompt.m_tokens);
     const double kept = std::max(held - answer, 0.0);
     plan.m_members[0].m_tokens = static_cast<uint64_t>(kept + answer);
-    if (!reserveRemainder(plan, group->m_engines, question.m_promptTokens - kept))
+    if (!reserveRemainder(plan, group->m_engines, query.m_promptTokens - kept))
         return std::nullopt;
     return plan;
 }
@@ -166,11 +166,11 @@
 {
     const EndpointRecord *best = nullptr;
     double bestCost = 0;
-    constexpr double FarShare = 0.01; // Decides only between equal loads.
+    constexpr double RemoteLoadShare = 0.01; // Decides only between equal loads.
     for (const EndpointRecord &endpoint : candidates) {
         const double load =
             static_cast<double>(attemptsAt(uses, endpoint.m_id)) / std::max(endpoint.m_slots, 1u);
-        const double cost = load + (endpoint.m_dataCentre == dataCentre ? 0 : FarShare);
+        const double cost = load + (endpoint.m_dataCentre == dataCentre ? 0 : RemoteLoadShare);
         if (!best || cost < bestCost) {
             best = &endpoint;
             bestCost = cost;
--- a/policy/gang_plan.h
+++ b/policy/gang_plan.h
@@ -69,7 +69,7 @@
 /// streams that tolerate its prefill now.
 std::optional<GangPlan> planGang(const GangSettings &settings, const EngineCosts &costs,
                                  const GangSides &sides, const EndpointUses &uses,
-                                 const GangQuestion &question);
+                                 const GangQuestion &query);
 
 /// The candidate with the fewest attempts in flight per slot; @p dataCentre wins ties. Null if
 /// there is no candidate.
--- a/policy/long_readers.cpp
+++ b/policy/long_readers.cpp
@@ -43,11 +43,11 @@
 std::vector<EngineCandidate> eligibleEngines(const EngineCosts &costs,
                                              const std::vector<EngineCandidate> &engines,
                                              const LongPrompt &prompt, FloatMillis part,
-                                             StreamCare care)
+                                             StreamCare disruption)
 {
     std::vector<EngineCandidate> members;
     for (const EngineCandidate &engine : engines) {
-        if (care == StreamCare::AllowDisruption || engine.m_prefillHeadroomMs >= part.count())
+        if (disruption == StreamCare::Permit || engine.m_prefillHeadroomMs >= part.count())
             members.push_back(engine);
     }
     if (members.empty())
@@ -64,11 +64,12 @@
 /// eligible or their memory does not suffice.
 std::optional<PrefillGroup> prefillGroupOf(const EngineCosts &costs,
                                            const std::vector<EngineCandidate> &engines,
-                                           const LongPrompt &prompt, size_t width, StreamCare care)
+                                           const LongPrompt &prompt, size_t width,
+                                           StreamCare disruption)
 {
     PrefillGroup group;
     group.m_partTime = prompt.m_prefill / static_cast<double>(width);
-    group.m_engines = eligibleEngines(costs, engines, prompt, group.m_partTime, care);
+    group.m_engines = eligibleEngines(costs, engines, prompt, group.m_partTime, disruption);
     if (group.m_engines.size() < width)
         return std::nullopt;
     group.m_engines.resize(width);
@@ -84,23 +85,23 @@
 size_t maxPrefillEngines(const PrefillGroupSettings &settings, size_t engines, FloatMillis prefill,
                          FloatMillis part)
 {
-    const size_t most = std::min<size_t>(engines, settings.m_maxHelpers + 1);
-    return std::clamp<size_t>(static_cast<size_t>(std::ceil(prefill / part)), 1, most);
+    const size_t maxWidth = std::min<size_t>(engines, settings.m_maxHelpers + 1);
+    return std::clamp<size_t>(static_cast<size_t>(std::ceil(prefill / part)), 1, maxWidth);
 }
 
 std::optional<PrefillGroup> fastestPrefillGroup(const PrefillGroupSettings &settings,
                                                 const EngineCosts &costs,
                                                 const std::vector<EngineCandidate> &engines,
-                                                const LongPrompt &prompt, StreamCare care)
+                                                const LongPrompt &prompt, StreamCare disruption)
 {
     // The memory may require more engines than the minimum part length allows.
-    const size_t most =
+    const size_t maxWidth =
         prompt.m_needsSeveralEngines
             ? std::min<size_t>(engines.size(), settings.m_maxHelpers + 1)
             : maxPrefillEngines(settings, engines.size(), prompt.m_prefill, settings.m_minLongPart);
     std::optional<PrefillGroup> best;
-    for (size_t width = 1; width <= most; ++width) {
-        auto group = prefillGroupOf(costs, engines, prompt, width, care);
+    for (size_t width = 1; width <= maxWidth; ++width) {
+        auto group = prefillGroupOf(costs, engines, prompt, width, disruption);
         if (group && (!best || group->m_firstEvent < best->m_firstEvent))
             best = std::move(group);
     }
--- a/policy/long_readers.h
+++ b/policy/long_readers.h
@@ -18,7 +18,7 @@
     /// A long prompt is not divided much further than into parts of this length. It is less than a
     /// pass, so shorter parts would not make the first event earlier.
     FloatMillis m_minLongPart{ 40 };
-    uint32_t m_maxHelpers = 16; ///< Limit of the engines.
+    uint32_t m_maxHelpers = 16; ///< Maximum that the engines support.
 };
 
 struct LongPrompt {
@@ -30,7 +30,7 @@
 /// Whether a prefill may disrupt streams, so that they exceed their gap limits.
 enum class StreamCare {
     Spare, ///< Use only engines whose streams tolerate the prefill.
-    AllowDisruption, ///< Use any engine and count the disrupted streams.
+    Permit, ///< Use any engine and count the disrupted streams.
 };
 
 /// Engines that prefill one prompt in equal parts.
@@ -41,8 +41,9 @@
     uint32_t m_spoilt = 0; ///< Streams predicted to exceed their gap limits.
 };
 
-/// Smallest number of engines, out of @p engines, that divides a prefill of @p prefill into parts
-/// of at most @p part; or the largest permitted number if that does not suffice. At least one.
+/// Smallest number of engines, out of @p engines, that divides a prefill that takes @p prefill into
+/// parts of at most @p part; or the largest permitted number if that does not suffice. At least
+/// one.
 size_t maxPrefillEngines(const PrefillGroupSettings &settings, size_t engines, FloatMillis prefill,
                          FloatMillis part);
 
@@ -52,6 +53,6 @@
 std::optional<PrefillGroup> fastestPrefillGroup(const PrefillGroupSettings &settings,
                                                 const EngineCosts &costs,
                                                 const std::vector<EngineCandidate> &engines,
-                                                const LongPrompt &prompt, StreamCare care);
+                                                const LongPrompt &prompt, StreamCare disruption);
 
 } // namespace stackquay
--- a/policy/long_set.cpp
+++ b/policy/long_set.cpp
@@ -39,15 +39,15 @@
 uint32_t resizeLongSet(LongSet &set, uint32_t engines, TimePoint now,
                        const LongSetSettings &settings)
 {
-    const auto most = std::max(1u, static_cast<uint32_t>(engines * settings.m_maxShare));
+    const auto maxSize = std::max(1u, static_cast<uint32_t>(engines * settings.m_maxShare));
     if (set.m_size == 0) {
         set.m_size = std::max(1u, static_cast<uint32_t>(engines * settings.m_startShare));
         set.m_changedAt = now;
     }
     const double demand = longDemand(set, now, settings);
-    const uint32_t needed = std::clamp(enginesFor(demand, settings.m_targetShare), 1u, most);
-    if (needed > set.m_size || set.m_size > most) {
-        set.m_size = std::max(needed, std::min(set.m_size, most));
+    const uint32_t needed = std::clamp(enginesFor(demand, settings.m_targetShare), 1u, maxSize);
+    if (needed > set.m_size || set.m_size > maxSize) {
+        set.m_size = std::max(needed, std::min(set.m_size, maxSize));
         set.m_changedAt = now;
         return set.m_size;
     }
--- a/policy/pool_split.cpp
+++ b/policy/pool_split.cpp
@@ -53,8 +53,9 @@
     if (wanted > all) {
         const double crowded =
             demand.m_strictStreams / (settings.m_strictPerOverloadedSlot * slots);
-        const double most = std::max(1.0, all * settings.m_maxStrictShare);
-        share = std::max(std::round(all * strict / wanted), std::min(std::ceil(crowded), most));
+        const double maxStrict = std::max(1.0, all * settings.m_maxStrictShare);
+        share =
+            std::max(std::round(all * strict / wanted), std::min(std::ceil(crowded), maxStrict));
     }
     return std::clamp<size_t>(static_cast<size_t>(share), 1, engines - 1);
 }
--- a/policy/span_plan.cpp
+++ b/policy/span_plan.cpp
@@ -182,7 +182,7 @@
             continue;
         if (!member.m_fillStarted && now >= member.m_expiry + span.m_settings.m_clockMargin)
             member.m_state = SpanMemberState::Gone;
-        else if (now >= member.m_sent + span.m_settings.m_answerTimeout)
+        else if (now >= member.m_sent + span.m_settings.m_replyTimeout)
             actions.push_back(release(member, now));
     }
     endIfNothingIsHeld(span);
@@ -192,7 +192,7 @@
 bool hasTimedOut(const Span &span, const SpanMember &member, TimePoint now)
 {
     if (member.m_state == SpanMemberState::Requested)
-        return now >= member.m_sent + span.m_settings.m_answerTimeout;
+        return now >= member.m_sent + span.m_settings.m_replyTimeout;
     return member.m_state == SpanMemberState::Held && !member.m_fillStarted
            && now >= member.m_expiry;
 }
@@ -238,28 +238,29 @@
                                                          const std::vector<SpanEngine> &engines)
 {
     const uint64_t needed = need.m_promptTokens + need.m_answerTokens;
-    const size_t most = std::min<size_t>(std::max<uint32_t>(need.m_maxSpan, 1), engines.size());
-    const uint64_t limit = memoryOfLargest(engines, most);
+    const size_t maxMembers =
+        std::min<size_t>(std::max<uint32_t>(need.m_maxSpan, 1), engines.size());
+    const uint64_t limit = memoryOfLargest(engines, maxMembers);
     if (needed > limit) {
         return tl::unexpected(Refusal{
             RequestError::PromptTooLong,
             Outcome::RefusedNotRun,
             fmt::format("Needs memory for {} tokens; the limit is {} tokens on {} engines.", needed,
-                        limit, most),
+                        limit, maxMembers),
             {} });
     }
     const std::vector<SpanEngine> byFree = sortedBy(engines, &SpanEngine::m_freeTokens);
-    for (size_t count = 1; count <= most; ++count) {
+    for (size_t count = 1; count <= maxMembers; ++count) {
         const std::vector<SpanEngine> chosen(byFree.begin(),
                                              byFree.begin() + static_cast<std::ptrdiff_t>(count));
         std::vector<SpanSegment> segments = split(need, chosen);
         if (segmentsFit(segments, chosen))
             return segments;
     }
-    return tl::unexpected(
-        Refusal{ RequestError::NoCapacity, Outcome::RefusedNotRun,
-                 fmt::format("No {} engines have memory free for {} tokens now.", most, needed),
-                 Seconds(5) });
+    return tl::unexpected(Refusal{
+        RequestError::NoCapacity, Outcome::RefusedNotRun,
+        fmt::format("No {} engines have memory free for {} tokens now.", maxMembers, needed),
+        Seconds(5) });
 }
 
 Span makeSpan(const SpanSettings &settings, const AttemptId &attempt,
@@ -305,11 +306,11 @@
 {
     std::optional<TimePoint> next;
     for (const SpanMember &member : span.m_members) {
-        const bool answerDue = member.m_state == SpanMemberState::Requested
-                               || member.m_state == SpanMemberState::Releasing;
+        const bool replyDue = member.m_state == SpanMemberState::Requested
+                              || member.m_state == SpanMemberState::Releasing;
         TimePoint due = member.m_expiry;
-        if (answerDue)
-            due = member.m_sent + span.m_settings.m_answerTimeout;
+        if (replyDue)
+            due = member.m_sent + span.m_settings.m_replyTimeout;
         else if (member.m_state != SpanMemberState::Held)
             continue;
         next = next ? std::min(*next, due) : due;
--- a/policy/span_plan.h
+++ b/policy/span_plan.h
@@ -49,7 +49,7 @@
     /// The engine drops a reservation that is unused for this time. It has to exceed the time that
     /// filling all segments takes.
     Duration m_reservationTtl = Seconds(60);
-    Duration m_answerTimeout = Seconds(5); ///< Timeout of a reservation or release.
+    Duration m_replyTimeout = Seconds(5); ///< Timeout of a reservation or release.
     Duration m_clockMargin = Seconds(2); ///< Added to the TTL to tolerate clock differences.
 };
 
--- a/policy/stream_ledger.h
+++ b/policy/stream_ledger.h
@@ -37,8 +37,8 @@
 /// The part of an attempt that one endpoint takes.
 struct LoadPart {
     EndpointId m_endpoint;
-    double m_readMs =
-        0; ///< Predicted prefill time on the otherwise idle endpoint; 0 for a plain service.
+    /// Predicted prefill time on the otherwise idle endpoint; 0 for a plain service.
+    double m_readMs = 0;
     uint64_t m_tokens = 0; ///< Memory that the attempt uses there.
 
     bool operator==(const LoadPart &) const = default;
@@ -66,7 +66,8 @@
     uint32_t m_strictAttempts = 0; ///< Of m_attempts, those whose streams are strict.
     double m_readBacklogMs = 0; ///< Prefill left to do, including parts of others' prompts.
     double m_longPrefillMs = 0; ///< Of that, for streams that are not strict.
-    double m_recentLongPrefillMs = 0; ///< Such prefill placed there within LongPrefillWindow.
+    /// Prefill of streams that are not strict, placed there within LongPrefillWindow.
+    double m_recentLongPrefillMs = 0;
     uint64_t m_tokens = 0; ///< Memory in use or reserved.
     /// Smallest gap limit of the streams that it answers; 0: no stream has a limit.
     uint32_t m_minGapLimitMs = 0;
@@ -117,8 +118,8 @@
 
     AttemptLoads m_loads;
     std::deque<TimePoint> m_recentStrictPlacements; ///< Within StrictRateWindow, ascending.
-    std::deque<PlacedPrefill>
-        m_recentLongPrefills; ///< Within LongPrefillWindow, by time of placement.
+    /// Within LongPrefillWindow, by time of placement.
+    std::deque<PlacedPrefill> m_recentLongPrefills;
 };
 
 /// A stream is strict if its gap limit is at most this: a long part that its engine prefills would
--- a/policy/turn_plan.cpp
+++ b/policy/turn_plan.cpp
@@ -6,47 +6,47 @@
 
 namespace {
 
-bool meetsTarget(const TurnSettings &settings, const ModelRequest &request, const WaitingTurn &turn,
-                 const GangPlan &plan, TimePoint now)
+bool meetsTarget(const TurnSettings &settings, const ModelRequest &request,
+                 const WaitingTurn &queued, const GangPlan &plan, TimePoint now)
 {
     // A strict stream waits only for a slot, and a retry is sent even if it will be late.
     return request.strict() || request.m_repeat
-           || isInTime(turn, plan.m_firstEvent * settings.m_predictionMargin, now);
+           || isInTime(queued, plan.m_firstEvent * settings.m_predictionMargin, now);
 }
 
 TurnLook planIfNext(const TurnSettings &settings, const ModelRequest &request,
-                    const WaitingTurn &turn, bool next, const GangPlanner &plan, TimePoint now)
+                    const WaitingTurn &queued, bool next, const GangPlanner &plan, TimePoint now)
 {
     if (!next)
         return { std::nullopt, TurnObstacle::BehindOthers };
     auto planned = plan(StreamCare::Spare);
     if (!planned)
         return { std::nullopt, TurnObstacle::NoEligibleEngines };
-    if (!meetsTarget(settings, request, turn, *planned, now))
+    if (!meetsTarget(settings, request, queued, *planned, now))
         return { std::nullopt, TurnObstacle::EnginesBusy };
     return { std::move(planned) };
 }
 
 /// A plan for a request that would otherwise be late, if it disrupts few streams.
 std::optional<GangPlan> disruptivePlan(const TurnSettings &settings, const EngineCosts &costs,
-                                       const ModelRequest &request, const WaitingTurn &turn,
+                                       const ModelRequest &request, const WaitingTurn &queued,
                                        const GangPlanner &plan, TimePoint now)
 {
     if (request.strict())
         return std::nullopt;
-    auto planned = plan(StreamCare::AllowDisruption);
+    auto planned = plan(StreamCare::Permit);
     const bool costly = planned && planned->m_spoilt > settings.m_maxDisruptedShare * costs.m_slots;
-    if (!planned || costly || !isInTime(turn, planned->m_firstEvent, now))
+    if (!planned || costly || !isInTime(queued, planned->m_firstEvent, now))
         return std::nullopt;
     return planned;
 }
 
 /// Whether the request has to be started by disruption or refused, because waiting longer would
 /// miss its latency target.
-bool cannotWaitLonger(const ModelRequest &request, const WaitingTurn &turn, TimePoint now)
+bool cannotWaitLonger(const ModelRequest &request, const WaitingTurn &queued, TimePoint now)
 {
     // A retry usually misses its latency target, so only the caller's patience limits it.
-    return request.m_repeat ? now >= turn.m_expiresAt : isTooLate(turn, now);
+    return request.m_repeat ? now >= queued.m_expiresAt : isTooLate(queued, now);
 }
 
 } // namespace
@@ -67,26 +67,26 @@
     };
     const FloatMillis toBegin = neededToBegin(settings, costs, request, engines);
     const Duration needed = part(toBegin, 1);
-    WaitingTurn turn;
-    turn.m_aimAt = request.m_arrival + request.m_aim;
-    turn.m_needed = needed;
-    turn.m_expiresAt =
+    WaitingTurn queued;
+    queued.m_aimAt = request.m_arrival + request.m_aim;
+    queued.m_needed = needed;
+    queued.m_expiresAt =
         request.m_arrival
         + std::min(part(request.m_patience, settings.m_patienceShare),
                    part(request.m_deadline - request.m_arrival, settings.m_deadlineShare));
     if (request.strict())
-        return turn;
+        return queued;
     // Prompts of all sizes are refused after the same wait: small ones while they could still be
     // in time, large ones when they no longer can.
     const Duration wait = part(request.m_aim, settings.m_maxWaitShare);
     const Duration past = std::max(wait + needed - request.m_aim, Duration::zero());
     const Duration reading =
         part(toBegin - settings.m_prefillOverhead, settings.m_prefillLeadShare);
-    turn.m_aimAt += past;
-    turn.m_needed = std::max(needed, request.m_aim - wait);
+    queued.m_aimAt += past;
+    queued.m_needed = std::max(needed, request.m_aim - wait);
     // The order in the queue depends on the latency target of the route and the prefill time.
-    turn.m_lead = past + std::max(reading, Duration::zero());
-    return turn;
+    queued.m_lead = past + std::max(reading, Duration::zero());
+    return queued;
 }
 
 StrictDemand strictDemandOf(const EngineCosts &costs, const TurnQueue &queue, StreamLedger &ledger,
@@ -102,10 +102,10 @@
 
 SideLoad sideLoadOf(const EngineCosts &costs, const std::vector<EndpointRecord> &pool,
                     const std::unordered_set<EndpointId> &strictSide, const EndpointUses &uses,
-                    const ActivePrefills &reading, bool strict)
+                    const ActivePrefills &prefills, bool strict)
 {
     SideLoad load;
-    load.m_reading = reading;
+    load.m_reading = prefills;
     load.m_engines = strict ? strictSide.size() : pool.size() - strictSide.size();
     load.m_engines = std::max<size_t>(load.m_engines, 1);
     load.m_slots = static_cast<uint32_t>(load.m_engines) * costs.m_slots;
@@ -143,16 +143,16 @@
     return sides;
 }
 
-GangQuestion questionOf(const EngineCosts &costs, const ModelRequest &request, StreamCare care,
-                        TimePoint now)
+GangQuestion questionOf(const EngineCosts &costs, const ModelRequest &request,
+                        StreamCare disruption, TimePoint now)
 {
-    GangQuestion question;
-    question.m_promptTokens = request.m_promptTokens;
-    question.m_answerTokens = static_cast<double>(costs.m_usualAnswerTokens);
-    question.m_gapLimitMs = request.m_gapLimitMs;
-    question.m_timeLeft = request.m_arrival + request.m_aim - now;
-    question.m_disruption = care;
-    return question;
+    GangQuestion query;
+    query.m_promptTokens = request.m_promptTokens;
+    query.m_answerTokens = static_cast<double>(costs.m_usualAnswerTokens);
+    query.m_gapLimitMs = request.m_gapLimitMs;
+    query.m_timeLeft = request.m_arrival + request.m_aim - now;
+    query.m_disruption = disruption;
+    return query;
 }
 
 std::string_view turnObstacleName(TurnObstacle obstacle)
@@ -171,13 +171,13 @@
 }
 
 TurnLook lookForTurn(const TurnSettings &settings, const EngineCosts &costs,
-                     const ModelRequest &request, const WaitingTurn &turn, bool next,
+                     const ModelRequest &request, const WaitingTurn &queued, bool next,
                      TurnObstacle before, const GangPlanner &plan, TimePoint now)
 {
-    TurnLook look = planIfNext(settings, request, turn, next, plan, now);
-    if (look.m_plan || !cannotWaitLonger(request, turn, now))
+    TurnLook look = planIfNext(settings, request, queued, next, plan, now);
+    if (look.m_plan || !cannotWaitLonger(request, queued, now))
         return look;
-    look.m_plan = disruptivePlan(settings, costs, request, turn, plan, now);
+    look.m_plan = disruptivePlan(settings, costs, request, queued, plan, now);
     look.m_tooLate = !look.m_plan;
     if (look.m_tooLate && before != TurnObstacle::None)
         look.m_obstacle = before;
--- a/policy/turn_plan.h
+++ b/policy/turn_plan.h
@@ -46,7 +46,7 @@
 /// Leaves m_longestAim to the caller.
 SideLoad sideLoadOf(const EngineCosts &costs, const std::vector<EndpointRecord> &pool,
                     const std::unordered_set<EndpointId> &strictSide, const EndpointUses &uses,
-                    const ActivePrefills &reading, bool strict);
+                    const ActivePrefills &prefills, bool strict);
 /// Number of further requests of a side that may start now.
 uint32_t roomOf(const TurnSettings &settings, const SideLoad &load, bool strict);
 /// Whether @p request, which waits in @p queue as @p key, may start by the order of the queue.
@@ -60,8 +60,8 @@
                  const std::unordered_set<EndpointId> &strictSide, bool strict);
 
 /// The inputs of planGang() for @p request, without m_rooms.
-GangQuestion questionOf(const EngineCosts &costs, const ModelRequest &request, StreamCare care,
-                        TimePoint now);
+GangQuestion questionOf(const EngineCosts &costs, const ModelRequest &request,
+                        StreamCare disruption, TimePoint now);
 
 /// Why a request does not start yet.
 enum class TurnObstacle {
@@ -88,7 +88,7 @@
 /// isNext(), @p before the obstacle at the previous decision. A refusal names @p before, because a
 /// request that is too late moves behind all others and would always report BehindOthers.
 TurnLook lookForTurn(const TurnSettings &settings, const EngineCosts &costs,
-                     const ModelRequest &request, const WaitingTurn &turn, bool next,
+                     const ModelRequest &request, const WaitingTurn &queued, bool next,
                      TurnObstacle before, const GangPlanner &plan, TimePoint now);
 
 } // namespace stackquay
--- a/policy/turn_queue.cpp
+++ b/policy/turn_queue.cpp
@@ -10,10 +10,10 @@
 
 /// Sort key: requests that can still meet their latency target by their latest start, then the
 /// rest.
-auto rankOf(const LoadKey &key, const WaitingTurn &turn, TimePoint now)
+auto rankOf(const LoadKey &key, const WaitingTurn &queued, TimePoint now)
 {
-    const TimePoint order = turn.m_aimAt - turn.m_lead;
-    return std::make_tuple(isTooLate(turn, now), order, key.m_origin, key.m_sequence);
+    const TimePoint order = queued.m_aimAt - queued.m_lead;
+    return std::make_tuple(isTooLate(queued, now), order, key.m_origin, key.m_sequence);
 }
 
 FloatMillis backlogPerEngine(const SideLoad &load)
@@ -36,8 +36,8 @@
         return 0;
     const auto rank = rankOf(key, mine->second, now);
     uint32_t ahead = 0;
-    for (const auto &[other, turn] : queue) {
-        if (!(other == key) && rankOf(other, turn, now) < rank)
+    for (const auto &[other, queued] : queue) {
+        if (!(other == key) && rankOf(other, queued, now) < rank)
             ++ahead;
     }
     return ahead;
@@ -51,14 +51,14 @@
     return queue.count(key) == 0 || aheadOf(queue, key, now) < room;
 }
 
-bool isInTime(const WaitingTurn &turn, FloatMillis firstEvent, TimePoint now)
+bool isInTime(const WaitingTurn &queued, FloatMillis firstEvent, TimePoint now)
 {
-    return now + firstEvent <= turn.m_aimAt;
+    return now + firstEvent <= queued.m_aimAt;
 }
 
-bool isTooLate(const WaitingTurn &turn, TimePoint now)
+bool isTooLate(const WaitingTurn &queued, TimePoint now)
 {
-    return now + turn.m_needed > turn.m_aimAt;
+    return now + queued.m_needed > queued.m_aimAt;
 }
 
 FloatMillis longPromptFirstEvent(const TurnSettings &settings, const EngineCosts &costs,
@@ -72,8 +72,8 @@
 bool isCheapPrefill(const TurnSettings &settings, const EngineCosts &costs, const SideLoad &load,
                     double tokens)
 {
-    const FloatMillis most = maxBacklogPerEngine(settings, load) * settings.m_cheapPrefillBacklogs;
-    return prefillDuration(costs, tokens) < most && backlogPerEngine(load) < most;
+    const FloatMillis limit = maxBacklogPerEngine(settings, load) * settings.m_cheapPrefillBacklogs;
+    return prefillDuration(costs, tokens) < limit && backlogPerEngine(load) < limit;
 }
 
 uint32_t prefillsAllowed(const TurnSettings &settings, const SideLoad &load)
@@ -85,8 +85,8 @@
 
 uint32_t strictStreamsAllowed(const TurnSettings &settings, const SideLoad &load)
 {
-    const double most = std::ceil(settings.m_maxStrictSlotShare * load.m_slots);
-    return static_cast<uint32_t>(std::max(most - load.m_strictStreams, 0.0));
+    const double limit = std::ceil(settings.m_maxStrictSlotShare * load.m_slots);
+    return static_cast<uint32_t>(std::max(limit - load.m_strictStreams, 0.0));
 }
 
 } // namespace stackquay
--- a/policy/turn_queue.h
+++ b/policy/turn_queue.h
@@ -42,12 +42,13 @@
 bool mayStartNow(TurnQueue &queue, const LoadKey &key, uint32_t room, TimePoint now);
 
 /// Whether a first event that comes @p firstEvent after @p now meets the latency target.
-bool isInTime(const WaitingTurn &turn, FloatMillis firstEvent, TimePoint now);
+bool isInTime(const WaitingTurn &queued, FloatMillis firstEvent, TimePoint now);
 
 /// Whether the first event would be late even if the request started now.
-bool isTooLate(const WaitingTurn &turn, TimePoint now);
+bool isTooLate(const WaitingTurn &queued, TimePoint now);
 
-/// A long prompt here is the prompt of any stream that is not strict, see isStrictGap().
+/// In these settings, a long prompt is the prompt of any stream that is not strict, see
+/// isStrictGap().
 struct TurnSettings {
     /// Long prompts that may be in prefill at any load. The parts of the next prompt keep engines
     /// busy between the end of a part and the report of it.
@@ -86,9 +87,9 @@
     /// without waiting, unless the backlog of the engines is that long, too. It delays few others,
     /// and would have to wait behind prompts whose prefill takes a hundred times as long.
     double m_cheapPrefillBacklogs = 2;
-    /// A retry waits at most this fraction of the time after which clients leave a silent stream,
+    /// A retry waits at most this fraction of the time after which clients leave a silent stream.
     double m_patienceShare = 0.55;
-    /// and at most this fraction of the time from its arrival to its deadline.
+    /// A retry waits at most this fraction of the time from its arrival to its deadline.
     double m_deadlineShare = 0.4;
 };
 
--- a/tests/policy/gang_plan_test.cpp
+++ b/tests/policy/gang_plan_test.cpp
@@ -37,22 +37,22 @@
     return { std::move(parts), gapLimitMs, false, at, at + Seconds(10) };
 }
 
-GangQuestion strictQuestion(double tokens)
+GangQuestion strictQuery(double tokens)
 {
-    GangQuestion question;
-    question.m_promptTokens = tokens;
-    question.m_answerTokens = 1'300;
-    question.m_gapLimitMs = 250;
-    question.m_timeLeft = FloatMillis(300);
-    return question;
+    GangQuestion query;
+    query.m_promptTokens = tokens;
+    query.m_answerTokens = 1'300;
+    query.m_gapLimitMs = 250;
+    query.m_timeLeft = FloatMillis(300);
+    return query;
 }
 
-GangQuestion longQuestion(double tokens)
+GangQuestion longQuery(double tokens)
 {
-    GangQuestion question = strictQuestion(tokens);
-    question.m_gapLimitMs = 1'000;
-    question.m_timeLeft = FloatMillis(2'500);
-    return question;
+    GangQuestion query = strictQuery(tokens);
+    query.m_gapLimitMs = 1'000;
+    query.m_timeLeft = FloatMillis(2'500);
+    return query;
 }
 
 TEST(EngineCostsTest, FollowTheDeclaredCosts)
@@ -163,8 +163,8 @@
     StreamLedger ledger;
     for (uint64_t i = 0; i < 3; ++i)
         ledger.place({ 1, i }, load({ part(pool[i], 20, 6'000) }, 250));
-    const auto plan = planGang({}, declaredEngineCosts(), { pool, {} }, ledger.uses(Start),
-                               strictQuestion(5'000));
+    const auto plan =
+        planGang({}, declaredEngineCosts(), { pool, {} }, ledger.uses(Start), strictQuery(5'000));
     ASSERT_TRUE(plan);
     ASSERT_EQ(plan->m_members.size(), 1u);
     EXPECT_EQ(plan->m_members[0].m_endpoint.m_id, pool[3].m_id);
@@ -174,7 +174,7 @@
 {
     const auto own = engines(0, 14);
     const auto plan =
-        planGang({}, declaredEngineCosts(), { own, engines(14, 18) }, {}, longQuestion(133'000));
+        planGang({}, declaredEngineCosts(), { own, engines(14, 18) }, {}, longQuery(133'000));
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->m_members.size(), 14u);
     const double whole = prefillDuration(declaredEngineCosts(), 133'000).count();
@@ -195,14 +195,14 @@
     }
     const EndpointUses uses = ledger.uses(Start);
     const auto usual =
-        planGang({}, declaredEngineCosts(), { own, others }, uses, longQuestion(120'000));
+        planGang({}, declaredEngineCosts(), { own, others }, uses, longQuery(120'000));
     ASSERT_TRUE(usual);
     EXPECT_EQ(usual->m_members.size(), 17u);
     // The part and a pass together stay below the gap limit of 250 ms.
     for (const GangMember &member : usual->m_members)
         EXPECT_LE(member.m_readMs, 110);
     const auto huge =
-        planGang({}, declaredEngineCosts(), { own, others }, uses, longQuestion(200'000));
+        planGang({}, declaredEngineCosts(), { own, others }, uses, longQuery(200'000));
     ASSERT_TRUE(huge);
     EXPECT_EQ(huge->m_members.size(), 1u);
 }
@@ -211,8 +211,7 @@
 {
     const auto own = engines(0, 14);
     for (const double tokens : { 230'000.0, 400'000.0, 600'000.0 }) {
-        const auto plan =
-            planGang({}, declaredEngineCosts(), { own, {} }, {}, longQuestion(tokens));
+        const auto plan = planGang({}, declaredEngineCosts(), { own, {} }, {}, longQuery(tokens));
         ASSERT_TRUE(plan) << tokens;
         uint64_t held = 0;
         for (const GangMember &member : plan->m_members) {
@@ -227,8 +226,8 @@
 TEST(GangPlanTest, NoPlanIfTheMemoryIsNotThere)
 {
     EXPECT_FALSE(
-        planGang({}, declaredEngineCosts(), { engines(0, 2), {} }, {}, longQuestion(600'000)));
-    EXPECT_FALSE(planGang({}, declaredEngineCosts(), {}, {}, longQuestion(1'000)));
+        planGang({}, declaredEngineCosts(), { engines(0, 2), {} }, {}, longQuery(600'000)));
+    EXPECT_FALSE(planGang({}, declaredEngineCosts(), {}, {}, longQuery(1'000)));
 }
 
 // An engine with a long backlog delays every prompt that it helps with: the predicted first event
@@ -239,7 +238,7 @@
     StreamLedger ledger;
     ledger.place({ 1, 1 }, load({ part(own[3], 12'000) }, 1'000));
     const auto plan =
-        planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), longQuestion(133'000));
+        planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), longQuery(133'000));
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->m_members.size(), 13u);
     EXPECT_LT(plan->m_firstEvent.count(), 400);
@@ -261,7 +260,7 @@
         ledger.place({ 2, i }, load({ part(own[13], 0), part(own[i], 60.0 * i) }, 0));
     }
     const EndpointUses uses = ledger.uses(Start);
-    const auto plan = planGang({}, costs, { own, {} }, uses, longQuestion(300'000));
+    const auto plan = planGang({}, costs, { own, {} }, uses, longQuery(300'000));
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->m_spoilt, 0u);
     EXPECT_GE(plan->m_members.size(), 7u);
@@ -281,11 +280,10 @@
     StreamLedger ledger;
     for (uint64_t i = 0; i < 8; ++i)
         ledger.place({ 1, i }, load({ part(own[i % 4], 0, 5'000) }, 100));
-    GangQuestion question = longQuestion(133'000);
-    EXPECT_FALSE(planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), question));
-    question.m_disruption = StreamCare::AllowDisruption;
-    const auto plan =
-        planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), question);
+    GangQuestion query = longQuery(133'000);
+    EXPECT_FALSE(planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), query));
+    query.m_disruption = StreamCare::Permit;
+    const auto plan = planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), query);
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->m_spoilt, 8u);
 }
@@ -298,7 +296,7 @@
     ledger.place({ 1, 1 }, load({ part(own[5], 0, 50'000) }, 1'000));
     ledger.startWriting({ 1, 1 });
     const auto plan =
-        planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), longQuestion(133'000));
+        planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), longQuery(133'000));
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->m_members[0].m_endpoint.m_id, own[5].m_id);
 }
@@ -443,11 +441,9 @@
     RandomEngine random(3);
     std::unordered_set<EndpointId> chosen;
     for (int vm = 0; vm < 40; ++vm) {
-        GangQuestion question = strictQuestion(5'000);
-        question.m_rooms.m_draw = [&] {
-            return std::uniform_real_distribution<double>(0, 1)(random);
-        };
-        const auto plan = planGang({}, declaredEngineCosts(), { engines(0, 9), {} }, {}, question);
+        GangQuestion query = strictQuery(5'000);
+        query.m_rooms.m_draw = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
+        const auto plan = planGang({}, declaredEngineCosts(), { engines(0, 9), {} }, {}, query);
         chosen.insert(plan->m_members[0].m_endpoint.m_id);
     }
     EXPECT_GE(chosen.size(), 7u);
@@ -457,8 +453,7 @@
 {
     const auto own = engines(0, 14);
     const auto others = engines(14, 18);
-    const auto plan =
-        planGang({}, declaredEngineCosts(), { own, others }, {}, longQuestion(45'000));
+    const auto plan = planGang({}, declaredEngineCosts(), { own, others }, {}, longQuery(45'000));
     ASSERT_TRUE(plan);
     EXPECT_GE(plan->m_members[0].m_endpoint.m_id, others[0].m_id);
     for (size_t i = 1; i < plan->m_members.size(); ++i)
@@ -509,11 +504,11 @@
 
 TEST(TurnQueueTest, DetectsRequestsThatCannotBeInTime)
 {
-    const WaitingTurn turn{ Start + Millis(3'000), Millis(1'000), Start + Seconds(9) };
-    EXPECT_FALSE(isTooLate(turn, Start + Millis(2'000)));
-    EXPECT_TRUE(isTooLate(turn, Start + Millis(2'001)));
-    EXPECT_TRUE(isInTime(turn, FloatMillis(1'500), Start + Millis(1'500)));
-    EXPECT_FALSE(isInTime(turn, FloatMillis(1'501), Start + Millis(1'500)));
+    const WaitingTurn queued{ Start + Millis(3'000), Millis(1'000), Start + Seconds(9) };
+    EXPECT_FALSE(isTooLate(queued, Start + Millis(2'000)));
+    EXPECT_TRUE(isTooLate(queued, Start + Millis(2'001)));
+    EXPECT_TRUE(isInTime(queued, FloatMillis(1'500), Start + Millis(1'500)));
+    EXPECT_FALSE(isInTime(queued, FloatMillis(1'501), Start + Millis(1'500)));
 }
 
 TEST(TurnQueueTest, AllowedStartsDependOnTheLoad)
@@ -564,10 +559,10 @@
     request.m_aim = Seconds(3);
     request.m_arrival = Start;
     request.m_deadline = Start + Seconds(60);
-    const WaitingTurn turn = turnOf({}, declaredEngineCosts(), request, 18);
+    const WaitingTurn queued = turnOf({}, declaredEngineCosts(), request, 18);
     const GangPlanner noPlan = [](StreamCare) { return std::nullopt; };
     const auto lookAt = [&](Millis after, bool next, TurnObstacle before) {
-        return lookForTurn({}, declaredEngineCosts(), request, turn, next, before, noPlan,
+        return lookForTurn({}, declaredEngineCosts(), request, queued, next, before, noPlan,
                            Start + after);
     };
     EXPECT_EQ(lookAt(Millis(100), true, TurnObstacle::None).m_obstacle,
--- a/tests/policy/pool_sim.cpp
+++ b/tests/policy/pool_sim.cpp
@@ -29,7 +29,7 @@
 struct Prompt {
     LoadKey m_key;
     ModelRequest m_request;
-    WaitingTurn m_turn;
+    WaitingTurn m_queueEntry;
     PromptOutcome m_outcome;
     size_t m_partsLeft = 0;
     uint32_t m_eventsLeft = 0;
@@ -118,10 +118,10 @@
 
     void drawArrivalsOf(size_t kind)
     {
-        const double most = m_load.m_kinds[kind].m_perSecond * maxRateFactor(kind);
+        const double maxRate = m_load.m_kinds[kind].m_perSecond * maxRateFactor(kind);
         double at = 0;
         const double end = std::chrono::duration<double>(m_load.m_length).count();
-        while ((at += std::exponential_distribution<double>(most)(m_random)) < end) {
+        while ((at += std::exponential_distribution<double>(maxRate)(m_random)) < end) {
             // Rejection sampling reduces the maximum rate to the rate of the phase.
             if (draw() * maxRateFactor(kind) <= rateFactorAt(kind, at))
                 m_prompts.push_back(drawPrompt(kind, at));
@@ -130,10 +130,10 @@
 
     double maxRateFactor(size_t kind) const
     {
-        double most = 0;
+        double maxFactor = 0;
         for (const auto &phase : m_load.m_phases)
-            most = std::max(most, phase[kind]);
-        return most;
+            maxFactor = std::max(maxFactor, phase[kind]);
+        return maxFactor;
     }
 
     double rateFactorAt(size_t kind, double at) const
@@ -170,8 +170,9 @@
     void enqueue(size_t index)
     {
         Prompt &prompt = m_prompts[index];
-        prompt.m_turn = turnOf(m_load.m_turns, m_load.m_costs, prompt.m_request, m_pool.size());
-        queueOf(prompt)[prompt.m_key] = prompt.m_turn;
+        prompt.m_queueEntry =
+            turnOf(m_load.m_dispatchSettings, m_load.m_costs, prompt.m_request, m_pool.size());
+        queueOf(prompt)[prompt.m_key] = prompt.m_queueEntry;
         m_waiting.push_back(index);
     }
 
@@ -233,16 +234,16 @@
     {
         const ModelRequest &request = prompt.m_request;
         const PoolView &seen = poolView(request.strict(), now);
-        const bool next = isNext(m_load.m_turns, m_load.m_costs, request, queueOf(prompt),
-                                 prompt.m_key, seen.m_side, now);
-        const auto plan = [&](StreamCare care) {
-            GangQuestion question = questionOf(m_load.m_costs, request, care, now);
-            question.m_rooms.m_draw = [this] { return draw(); };
-            return planGang(m_load.m_gang, m_load.m_costs, seen.m_sides, seen.m_uses, question);
+        const bool next = isNext(m_load.m_dispatchSettings, m_load.m_costs, request,
+                                 queueOf(prompt), prompt.m_key, seen.m_side, now);
+        const auto plan = [&](StreamCare disruption) {
+            GangQuestion query = questionOf(m_load.m_costs, request, disruption, now);
+            query.m_rooms.m_draw = [this] { return draw(); };
+            return planGang(m_load.m_gang, m_load.m_costs, seen.m_sides, seen.m_uses, query);
         };
         const TurnLook decision =
-            lookForTurn(m_load.m_turns, m_load.m_costs, request, prompt.m_turn, next,
-                        prompt.m_outcome.m_obstacle, plan, now);
+            lookForTurn(m_load.m_dispatchSettings, m_load.m_costs, request, prompt.m_queueEntry,
+                        next, prompt.m_outcome.m_obstacle, plan, now);
         prompt.m_outcome.m_obstacle = decision.m_obstacle;
         if (!decision.m_plan && !decision.m_tooLate)
             return false;
--- a/tests/policy/pool_sim.h
+++ b/tests/policy/pool_sim.h
@@ -35,7 +35,7 @@
     /// For each phase, a factor on the arrival rate of each kind. The phases repeat.
     std::vector<std::vector<double>> m_phases;
     // Settings of the scheduling code.
-    TurnSettings m_turns{};
+    TurnSettings m_dispatchSettings{};
     GangSettings m_gang{};
 };
 
--- a/tests/policy/pool_worth_test.cpp
+++ b/tests/policy/pool_worth_test.cpp
@@ -70,14 +70,14 @@
         for (uint64_t seed = 1; seed <= seeds; ++seed) {
             const PoolRun play = simulatePool(load, seed);
             const double earned = earnedShare(load, play.m_outcomes);
-            const double most = maxEarnedShare(load, play.m_outcomes);
+            const double bound = maxEarnedShare(load, play.m_outcomes);
             const double all =
                 play.m_time.m_prefilling + play.m_time.m_decoding + play.m_time.m_idle;
             const double idle = play.m_time.m_idleWhileWaiting / all;
             fmt::print("worth: load=\"{}\" seed={} earned={:.3f} most={:.3f} reading={:.3f} "
                        "idle_in_need={:.3f}\n",
-                       name, seed, earned, most, play.m_time.m_prefilling / all, idle);
-            EXPECT_LE(earned, most) << name;
+                       name, seed, earned, bound, play.m_time.m_prefilling / all, idle);
+            EXPECT_LE(earned, bound) << name;
             EXPECT_LE(idle, MaxIdleWhileWaiting) << name;
         }
     }
