--- a/policy/turn_queue.cpp
+++ b/policy/turn_queue.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-/// Sorts those that can still meet their aim by their latest begin, and the others behind them.
-auto rankOf(const LoadKey &key, const WaitingTurn &turn, TimePoint now)
+/// Sort key: requests that can still meet their latency target by their latest start, then the
+/// rest.
+auto rankOf(const LoadKey &key, const WaitingTurn &queued, TimePoint now)
 {
-    const TimePoint order = turn.m_aimAt - turn.m_lead;
-    return std::make_tuple(isTooLate(turn, now), order, key.m_origin, key.m_sequence);
+    const TimePoint order = queued.m_aimAt - queued.m_lead;
+    return std::make_tuple(isTooLate(queued, now), order, key.m_origin, key.m_sequence);
 }
 
-FloatMillis backlogOfEach(const SideLoad &load)
+FloatMillis backlogPerEngine(const SideLoad &load)
 {
     return FloatMillis(load.m_reading.m_readMs) / static_cast<double>(load.m_engines);
 }
 
-/// Up to which more may begin.
-FloatMillis backlogBound(const TurnSettings &settings, const SideLoad &load)
+/// Backlog of an engine below which further prompts may start.
+FloatMillis maxBacklogPerEngine(const TurnSettings &settings, const SideLoad &load)
 {
-    return load.m_longestAim * settings.m_backlogShare;
+    return load.m_longestAim * settings.m_maxBacklogShare;
 }
 
 } // namespace
@@ -35,14 +36,14 @@
         return 0;
     const auto rank = rankOf(key, mine->second, now);
     uint32_t ahead = 0;
-    for (const auto &[other, turn] : queue) {
-        if (!(other == key) && rankOf(other, turn, now) < rank)
+    for (const auto &[other, queued] : queue) {
+        if (!(other == key) && rankOf(other, queued, now) < rank)
             ++ahead;
     }
     return ahead;
 }
 
-bool mayBegin(TurnQueue &queue, const LoadKey &key, uint32_t room, TimePoint now)
+bool mayStartNow(TurnQueue &queue, const LoadKey &key, uint32_t room, TimePoint now)
 {
     std::erase_if(queue, [&](const auto &entry) {
         return entry.second.m_expiresAt <= now && !(entry.first == key);
@@ -50,41 +51,42 @@
     return queue.count(key) == 0 || aheadOf(queue, key, now) < room;
 }
 
-bool isInTime(const WaitingTurn &turn, FloatMillis firstEvent, TimePoint now)
+bool isInTime(const WaitingTurn &queued, FloatMillis firstEvent, TimePoint now)
 {
-    return now + firstEvent <= turn.m_aimAt;
+    return now + firstEvent <= queued.m_aimAt;
 }
 
-bool isTooLate(const WaitingTurn &turn, TimePoint now)
+bool isTooLate(const WaitingTurn &queued, TimePoint now)
 {
-    return now + turn.m_needed > turn.m_aimAt;
+    return now + queued.m_needed > queued.m_aimAt;
 }
 
-FloatMillis neededToRead(const TurnSettings &settings, const EngineCosts &costs, double tokens,
-                         size_t engines)
+FloatMillis longPromptFirstEvent(const TurnSettings &settings, const EngineCosts &costs,
+                                 double tokens, size_t engines)
 {
-    const size_t readers = std::clamp<size_t>(engines, 1, settings.m_mostReaders);
-    return readTime(costs, tokens) / static_cast<double>(readers) + settings.m_readOverhead;
+    const size_t readers = std::clamp<size_t>(engines, 1, settings.m_maxPrefillEngines);
+    return prefillDuration(costs, tokens) / static_cast<double>(readers)
+           + settings.m_prefillOverhead;
 }
 
-bool readsLittle(const TurnSettings &settings, const EngineCosts &costs, const SideLoad &load,
-                 double tokens)
+bool isCheapPrefill(const TurnSettings &settings, const EngineCosts &costs, const SideLoad &load,
+                    double tokens)
 {
-    const FloatMillis most = backlogBound(settings, load) * settings.m_littleBacklogs;
-    return readTime(costs, tokens) < most && backlogOfEach(load) < most;
+    const FloatMillis limit = maxBacklogPerEngine(settings, load) * settings.m_cheapPrefillBacklogs;
+    return prefillDuration(costs, tokens) < limit && backlogPerEngine(load) < limit;
 }
 
-uint32_t roomToRead(const TurnSettings &settings, const SideLoad &load)
+uint32_t prefillsAllowed(const TurnSettings &settings, const SideLoad &load)
 {
     if (load.m_reading.m_prompts < settings.m_leastReading)
         return settings.m_leastReading - load.m_reading.m_prompts;
-    return backlogOfEach(load) < backlogBound(settings, load) ? 1 : 0;
+    return backlogPerEngine(load) < maxBacklogPerEngine(settings, load) ? 1 : 0;
 }
 
-uint32_t roomToWrite(const TurnSettings &settings, const SideLoad &load)
+uint32_t strictStreamsAllowed(const TurnSettings &settings, const SideLoad &load)
 {
-    const double most = std::ceil(settings.m_slotShare * load.m_slots);
-    return static_cast<uint32_t>(std::max(most - load.m_strictStreams, 0.0));
+    const double limit = std::ceil(settings.m_maxStrictSlotShare * load.m_slots);
+    return static_cast<uint32_t>(std::max(limit - load.m_strictStreams, 0.0));
 }
 
 } // namespace stackquay
