--- a/policy/cells.cpp
+++ b/policy/cells.cpp
@@ -11,13 +11,14 @@
 
 namespace {
 
-size_t shareOf(size_t engines, uint32_t cells)
+/// Largest number of engines of one cell when they are spread evenly.
+size_t maxEnginesPerCell(size_t engineCount, uint32_t cells)
 {
-    return (engines + cells - 1) / cells;
+    return (engineCount + cells - 1) / cells;
 }
 
-/// The cells in the order in which an engine prefers them.
-std::vector<uint32_t> preferenceOf(const EndpointId &engine, uint32_t cells)
+/// The cells in the order in which an engine is offered to them (rendezvous hashing).
+std::vector<uint32_t> cellsByPreference(const EndpointId &engine, uint32_t cells)
 {
     const uint64_t seed = stableHash(engine.str());
     std::vector<uint32_t> order(cells);
@@ -31,44 +32,47 @@
     return order;
 }
 
-/// Fills cells up to their shares.
-class Assignment
+/// Assigns engines to cells: to the most preferred one that is below its share in total and in the
+/// engine's data centre, else to the most preferred one that is below its share in total.
+class CellAssignment
 {
 public:
-    Assignment(const std::vector<EndpointRecord> &pool, uint32_t cells)
+    CellAssignment(const std::vector<EndpointRecord> &pool, uint32_t cells)
         : m_cells(cells)
-        , m_mostInAll(shareOf(pool.size(), cells))
-        , m_inAll(cells, 0)
+        , m_maxPerCell(maxEnginesPerCell(pool.size(), cells))
+        , m_perCell(cells, 0)
     {
         for (const EndpointRecord &engine : pool)
-            ++m_engines[engine.m_dataCentre];
-        for (const auto &[dataCentre, engines] : m_engines)
-            m_here[dataCentre].assign(cells, 0);
+            ++m_enginesInDataCentre[engine.m_dataCentre];
+        for (const auto &[dataCentre, engineCount] : m_enginesInDataCentre)
+            m_perDataCentre[dataCentre].assign(cells, 0);
     }
 
-    uint32_t take(const EndpointRecord &engine)
+    /// Returns the cell of @p engine. Depends on the engines assigned before.
+    uint32_t assign(const EndpointRecord &engine)
     {
-        const auto order = preferenceOf(engine.m_id, m_cells);
-        std::vector<size_t> &here = m_here[engine.m_dataCentre];
-        const size_t mostHere = shareOf(m_engines[engine.m_dataCentre], m_cells);
+        const auto order = cellsByPreference(engine.m_id, m_cells);
+        std::vector<size_t> &inDataCentre = m_perDataCentre[engine.m_dataCentre];
+        const size_t maxInDataCentre =
+            maxEnginesPerCell(m_enginesInDataCentre[engine.m_dataCentre], m_cells);
         auto found = std::find_if(order.begin(), order.end(), [&](uint32_t cell) {
-            return m_inAll[cell] < m_mostInAll && here[cell] < mostHere;
+            return m_perCell[cell] < m_maxPerCell && inDataCentre[cell] < maxInDataCentre;
         });
         if (found == order.end())
             found = std::find_if(order.begin(), order.end(),
-                                 [&](uint32_t cell) { return m_inAll[cell] < m_mostInAll; });
+                                 [&](uint32_t cell) { return m_perCell[cell] < m_maxPerCell; });
         const uint32_t cell = found == order.end() ? order.front() : *found;
-        ++m_inAll[cell];
-        ++here[cell];
+        ++m_perCell[cell];
+        ++inDataCentre[cell];
         return cell;
     }
 
 private:
     uint32_t m_cells;
-    size_t m_mostInAll;
-    std::vector<size_t> m_inAll;
-    std::map<DataCentreId, size_t> m_engines;
-    std::map<DataCentreId, std::vector<size_t>> m_here;
+    size_t m_maxPerCell;
+    std::vector<size_t> m_perCell;
+    std::map<DataCentreId, size_t> m_enginesInDataCentre;
+    std::map<DataCentreId, std::vector<size_t>> m_perDataCentre;
 };
 
 } // namespace
@@ -94,10 +98,10 @@
 {
     if (view.m_cells <= 1)
         return pool;
-    Assignment assignment(pool, view.m_cells);
+    CellAssignment cellAssignment(pool, view.m_cells);
     std::vector<EndpointRecord> own;
     for (const EndpointRecord &engine : pool) {
-        if (assignment.take(engine) == view.m_cell)
+        if (cellAssignment.assign(engine) == view.m_cell)
             own.push_back(engine);
     }
     return own.empty() ? pool : own;
--- a/policy/cells.h
+++ b/policy/cells.h
@@ -1,13 +1,15 @@
-/// Cells: parts of a large fleet that plan apart.
+/// Divides a large fleet into cells that place requests independently of each other.
 ///
-/// VMs tell each other of every placement, so that each knows the load of all engines. That costs a
-/// VM messages in proportion to the fleet: at 295 VMs and 266 requests a second, 235,000 datagrams
-/// a second in all. So a large fleet is divided into cells. A cell has VMs and engines of all data
-/// centres; its VMs know each other and place on its engines, as a small fleet does. Clients reach
-/// VMs of all cells, so that a shift of the load between data centres changes no cell's share.
+/// VMs announce every placement to each other, so that each has the load of all engines. The
+/// message rate per VM grows with the size of the fleet: 295 VMs at 266 requests per second
+/// exchange 235,000 datagrams per second in total. A large fleet is therefore divided into cells.
+/// Each cell has VMs and engines in all data centres; its VMs exchange messages only with each
+/// other and place requests only on the engines of the cell. Clients connect to VMs of all cells,
+/// so a shift of load between data centres leaves the share of each cell unchanged.
 ///
-/// VMs and engines are assigned by hashes, without agreement: VMs that disagree for a moment make
-/// worse choices, nothing more. When the number of cells doubles, each cell divides into two.
+/// VMs and engines are assigned to cells by hashing, without coordination. VMs with different views
+/// of the fleet size choose worse endpoints until the views agree, with no other effect. When the
+/// number of cells doubles, each cell is split into two.
 #pragma once
 
 #include <cstdint>
@@ -17,26 +19,29 @@
 
 namespace stackquay {
 
-/// A fleet of so many VMs is one cell; each tells about 3 messages a request to each other one.
+/// Fleets up to this size form a single cell. For each request, a VM sends about 3 messages to each
+/// other VM of its cell.
 constexpr uint32_t MostVmsTogether = 128;
 
-/// The part of a fleet that a VM plans in.
+/// The cell of one VM, and the number of cells in the fleet.
 struct CellView {
     uint32_t m_cell = 0;
-    uint32_t m_cells = 1; ///< A power of two.
+    uint32_t m_cells = 1; ///< Number of cells; a power of two.
 
     bool operator==(const CellView &) const = default;
 };
 
-/// Cells of a fleet of @p vms, so that a cell has at most MostVmsTogether of them on average.
+/// Number of cells for a fleet of @p vms VMs: the smallest power of two for which a cell has at
+/// most MostVmsTogether VMs on average. At least 1.
 uint32_t cellCount(uint32_t vms);
-/// The cell of @p vm among @p cells.
+/// The cell of @p vm, from 0 to @p cells - 1. @p cells is a power of two.
 uint32_t cellOf(const VmId &vm, uint32_t cells);
+/// The cell of @p vm in a fleet of @p vms VMs.
 CellView cellViewOf(const VmId &vm, uint32_t vms);
 
-/// The engines of @p pool, which is sorted by id, that belong to a cell: as many for each cell as
-/// possible, in all and in each data centre. An engine that comes or goes moves few others. All of
-/// @p pool if the cell would have none.
+/// The engines of @p pool that belong to the cell of @p view. @p pool is sorted by id. Engines are
+/// spread evenly over the cells, in total and in each data centre. Adding or removing an engine
+/// moves few others. Returns all of @p pool if the cell would have no engine.
 std::vector<EndpointRecord> cellPool(const std::vector<EndpointRecord> &pool, const CellView &view);
 
 } // namespace stackquay
--- a/tests/policy/cells_test.cpp
+++ b/tests/policy/cells_test.cpp
@@ -46,9 +46,9 @@
     EXPECT_EQ(cellPool(pool, cellViewOf(VmId("front-1"), 90)), pool);
 }
 
-// A doubled number of cells divides each: VMs that learn late that the fleet is larger have peers
-// of their later cell among those of the earlier one.
-TEST(CellsTest, MoreCellsDivideEach)
+// When the number of cells doubles, each cell is split, so a VM with an outdated fleet size still
+// has all peers of its new cell among those of its old one.
+TEST(CellsTest, DoublingTheCellsSplitsEachCell)
 {
     for (int i = 0; i < 1'000; ++i) {
         const VmId vm(fmt::format("front-{}", i));
@@ -57,7 +57,7 @@
     }
 }
 
-TEST(CellsTest, EachEngineHasOneCellAndCellsAreEqual)
+TEST(CellsTest, EachEngineIsInOneCellAndCellsAreBalanced)
 {
     for (const size_t count : { 8, 37, 150, 1'500 }) {
         SCOPED_TRACE(count);
@@ -74,43 +74,43 @@
     }
 }
 
-// A data centre that is cut off serves with its own engines, in each cell.
+// A data centre that is cut off has only its own engines, so each cell needs some of them.
 TEST(CellsTest, EachCellHasEnginesInEachDataCentre)
 {
     constexpr uint32_t Cells = 4;
     const auto pool = engines(150, 5);
     for (uint32_t cell = 0; cell < Cells; ++cell) {
-        std::map<DataCentreId, size_t> here;
+        std::map<DataCentreId, size_t> enginesByDataCentre;
         for (const EndpointRecord &engine : cellPool(pool, { cell, Cells }))
-            ++here[engine.m_dataCentre];
-        EXPECT_EQ(here.size(), 5u);
-        for (const auto &[dataCentre, count] : here)
+            ++enginesByDataCentre[engine.m_dataCentre];
+        EXPECT_EQ(enginesByDataCentre.size(), 5u);
+        for (const auto &[dataCentre, count] : enginesByDataCentre)
             EXPECT_GE(count, 4u) << dataCentre.str();
     }
 }
 
-TEST(CellsTest, EngineThatGoesMovesFewOthers)
+TEST(CellsTest, RemovingAnEngineMovesFewOthers)
 {
     constexpr uint32_t Cells = 4;
     const auto pool = engines(150, 5);
     const auto before = cellsOf(pool, Cells);
     size_t moved = 0;
-    for (size_t gone = 0; gone < pool.size(); ++gone) {
+    for (size_t removed = 0; removed < pool.size(); ++removed) {
         auto fewer = pool;
-        fewer.erase(fewer.begin() + static_cast<ptrdiff_t>(gone));
+        fewer.erase(fewer.begin() + static_cast<ptrdiff_t>(removed));
         for (const auto &[id, cell] : cellsOf(fewer, Cells))
             moved += before.at(id) != cell;
     }
     EXPECT_LT(static_cast<double>(moved) / static_cast<double>(pool.size()), 12);
 }
 
-TEST(CellsTest, CellWithoutEnginesUsesAll)
+TEST(CellsTest, CellWithoutEnginesUsesTheWholePool)
 {
     const auto pool = engines(2, 1);
-    size_t whole = 0;
+    size_t cellsWithWholePool = 0;
     for (uint32_t cell = 0; cell < 4; ++cell)
-        whole += cellPool(pool, { cell, 4 }).size() == pool.size();
-    EXPECT_GE(whole, 2u);
+        cellsWithWholePool += cellPool(pool, { cell, 4 }).size() == pool.size();
+    EXPECT_GE(cellsWithWholePool, 2u);
 }
 
 } // namespace
