--- a/policy/crash_suspects.h
+++ b/policy/crash_suspects.h
@@ -1,16 +1,20 @@
-/// Requests under which the processes of endpoints ended, as one VM knows them.
+/// Tracks requests that may crash the engines that run them. Each VM has one table.
 ///
-/// A request may end each endpoint that begins to run it. When a process ends, all requests that
-/// were in progress there are suspects; the culprit is the one that is there each time. Suspects
-/// are placed apart from each other, so that the next end tells them apart, and so few of them are
-/// tried at once that the ends stay within the bound. Whoever completes is cleared. One that is at
-/// as many ends as the bound is condemned: nothing sends it any more, but for a few trials, long
-/// after, so that a repaired engine or a wrong blame heals.
+/// A request may crash every engine that runs it. A process that exits with requests in progress
+/// counts as crashed, and all these requests become suspects; the one that causes the crashes is present at each of them.
+/// Suspects are placed on different engines, so that the next crash tells them apart, and the
+/// number of concurrent attempts of a suspect is limited, so that it causes at most
+/// m_quarantineThreshold crashes. A suspect that completes is cleared. One that was present at
+/// m_quarantineThreshold crashes is quarantined: it is not sent any more, except for a few probes
+/// much later, which lift the quarantine once the engine is repaired or if the request was
+/// suspected wrongly. Log events, metrics and stored records call this state "condemned", crashes
+/// "ends" and probes "trials".
 ///
-/// An entry is made only by an end, so a caller cannot fill the table without ending processes.
+/// Only a crash adds an entry, so a caller cannot fill the table without crashing processes.
 ///
-/// The ends of a request that completed are remembered: news of them still travel, and would make
-/// it a suspect again, be passed on as new, and be followed by its clearing, without an end.
+/// The crashes of a cleared request are remembered. Reports of them may still arrive; without the
+/// record, each would make the request a suspect again and be passed on to other VMs, which would
+/// clear it again, without end.
 #pragma once
 
 #include <unordered_map>
@@ -24,107 +28,120 @@
 namespace stackquay {
 
 struct SuspectSettings {
-    /// The users allow a request three ends before it must be known.
-    uint32_t m_condemnAt = 3;
-    /// From the last end to the first trial; doubled by each trial. An engine is repaired by people
-    /// or a release, in minutes.
-    Seconds m_trialAfter{ 600 };
-    /// The users allow three sends after the third end.
-    uint32_t m_mostTrials = 3;
-    /// A suspect that did not come again for so long is forgotten.
-    Seconds m_forgetAfter{ 86'400 };
-    /// Some 200 bytes each, of suspects and of cleared ones. When there are more, those with the
-    /// fewest ends go first, and the oldest of the cleared ones.
-    size_t m_most = 1'024;
-    /// Of one request; the latest are kept.
-    size_t m_mostClearedEnds = 16;
+    /// Crashes at which a suspect is quarantined. A request may cause at most three.
+    uint32_t m_quarantineThreshold = 3;
+    /// From the last crash to the first probe; doubled by each probe. Engines are repaired by an
+    /// operator or a release, which takes minutes.
+    Seconds m_probeDelay{ 600 };
+    /// Probes after the quarantine began. A request may be sent at most three times after the third
+    /// crash.
+    uint32_t m_maxProbes = 3;
+    /// Suspects without a crash or probe for this long are dropped.
+    Seconds m_retention{ 86'400 };
+    /// Limit for suspects and for cleared requests, each of about 200 bytes. Beyond it, the suspect
+    /// with the fewest crashes or the oldest cleared request is evicted.
+    size_t m_maxSuspects = 1'024;
+    /// Remembered crashes of one cleared request; the latest are kept.
+    size_t m_maxClearedCrashes = 16;
 };
 
 struct Suspect {
-    std::vector<uint64_t> m_ends; ///< Names of the processes; no more than condemn it.
-    uint32_t m_trials = 0; ///< Tries since it was condemned.
-    TimePoint m_lastAt{}; ///< Last end or trial.
+    std::vector<uint64_t> m_ends; ///< Crashed processes, by processName(); up to the threshold.
+    uint32_t m_trials = 0; ///< Probes since it was quarantined.
+    TimePoint m_lastAt{}; ///< Last crash or probe.
 };
 
-/// Ends that say nothing of a request any more: it completed after them.
-struct ClearedEnds {
-    std::vector<uint64_t> m_ends;
-    TimePoint m_at{};
+/// Crashes that a request did not cause, as it completed after them.
+struct ClearedCrashes {
+    std::vector<uint64_t> m_ends; ///< Crashed processes, by processName().
+    TimePoint m_at{}; ///< When the latest one was added.
 };
 
-/// An attempt of a suspect that is in flight somewhere in the fleet.
-struct SuspectTry {
+/// An attempt of a suspect that is in flight anywhere in the fleet.
+struct SuspectAttempt {
     Fingerprint m_print;
-    TimePoint m_until{};
-    bool m_trial = false; ///< Begun when it was condemned.
+    TimePoint m_until{}; ///< Treated as ended from this time on.
+    bool m_trial = false; ///< A probe: begun while the suspect was quarantined.
 };
 
 struct SuspectTable {
     SuspectSettings m_settings;
     std::unordered_map<Fingerprint, Suspect, FingerprintHash> m_suspects;
-    std::unordered_map<LoadKey, SuspectTry, LoadKeyHash> m_tries;
-    std::unordered_map<uint64_t, uint32_t> m_outlines; ///< How many suspects have each.
-    std::unordered_map<Fingerprint, ClearedEnds, FingerprintHash> m_cleared;
+    std::unordered_map<LoadKey, SuspectAttempt, LoadKeyHash> m_tries;
+    std::unordered_map<uint64_t, uint32_t> m_suspectsPerOutline; ///< By Fingerprint::m_outline.
+    std::unordered_map<Fingerprint, ClearedCrashes, FingerprintHash> m_cleared;
 
+    /// Whether there are no suspects.
     bool empty() const { return m_suspects.empty(); }
-    /// Whether a request of this outline may be a suspect: only then its body has to be read.
-    bool mayKnow(uint64_t outline) const { return m_outlines.count(outline) > 0; }
+    /// Whether a request with this outline may be a suspect. Only then is the fingerprint of its
+    /// body needed.
+    bool mayKnow(uint64_t outline) const { return m_suspectsPerOutline.count(outline) > 0; }
 };
 
-/// What VMs tell each other of a suspect, and keep of one that is condemned.
+/// State of a suspect as sent to other VMs, and as stored for a quarantined one.
 struct SuspectNews {
     Fingerprint m_print;
     std::vector<uint64_t> m_ends;
     uint32_t m_trials = 0;
-    uint64_t m_ageMs = 0; ///< Since the last end or trial.
+    uint64_t m_ageMs = 0; ///< Since the last crash or probe.
 
     MSGPACK_DEFINE(m_print, m_ends, m_trials, m_ageMs)
 };
 
-/// How a request may be tried.
+/// How an attempt of a request may be placed.
 enum class SuspectCare {
-    None, ///< No suspect.
-    Apart, ///< Beside no other suspect.
-    Alone, ///< As Apart, and where little else runs.
-    Busy, ///< Not now: other tries of it are in flight.
-    Condemned, ///< Not at all.
+    None, ///< Not a suspect: anywhere.
+    Apart, ///< On an engine without another suspect.
+    Alone, ///< As Apart, and on an engine with little load.
+    Busy, ///< Not now: too many attempts of it are in flight.
+    Condemned, ///< Quarantined: not at all.
 };
 
 struct SuspectVerdict {
     SuspectCare m_care = SuspectCare::None;
-    Duration m_comeBack{}; ///< Busy and condemned: when it may be tried.
+    Duration m_comeBack{}; ///< Busy and Condemned only: time until the next attempt is allowed.
 
     bool mayTry() const { return m_care != SuspectCare::Busy && m_care != SuspectCare::Condemned; }
 };
 
-/// What an end or a peer's news changed.
-enum class SuspectChange { None, Known, Condemned };
+/// How a crash or a peer's report changed the table.
+enum class SuspectChange {
+    None,
+    Known, ///< A new suspect, or a change to a known one.
+    Condemned, ///< The suspect is now quarantined.
+};
 
-/// Names one process of an endpoint.
+/// Identifies one process of an endpoint; @p startedMs: its start, Unix time in ms.
 uint64_t processName(const EndpointId &endpoint, uint64_t startedMs);
 
-SuspectChange noteEnd(SuspectTable &table, const Fingerprint &print, uint64_t process,
+/// Records that @p process crashed while the request was in progress on it. Reports of the same
+/// crash count once; crashes before the request was cleared do not count.
+SuspectChange noteEnd(SuspectTable &table, const Fingerprint &fingerprint, uint64_t process,
                       TimePoint now);
+/// Merges a peer's report. Reports may arrive in any order and repeatedly.
 SuspectChange joinNews(SuspectTable &table, const SuspectNews &news, TimePoint now);
-/// Drops it from the table. False if it was no suspect.
-bool clearSuspect(SuspectTable &table, const Fingerprint &print);
-/// It completed after @p ends and those known here: it does not end whatever runs it. False if that
-/// changes nothing.
-bool noteCleared(SuspectTable &table, const Fingerprint &print, const std::vector<uint64_t> &ends,
-                 TimePoint now);
-/// Of a try of @p print, which is not yet in flight or is @p own.
-SuspectVerdict judge(const SuspectTable &table, const Fingerprint &print, const LoadKey &own,
+/// Removes a suspect without remembering its crashes. False if it was not a suspect.
+bool removeSuspect(SuspectTable &table, const Fingerprint &fingerprint);
+/// Clears a request that completed after the crashes @p ends and the ones in the table: it caused
+/// none of them. Returns whether the table changed.
+bool noteCleared(SuspectTable &table, const Fingerprint &fingerprint,
+                 const std::vector<uint64_t> &ends, TimePoint now);
+/// Decides whether an attempt of the request may be made, and where. Its own attempt @p own, if it
+/// is in flight already, does not count against it.
+SuspectVerdict judge(const SuspectTable &table, const Fingerprint &fingerprint, const LoadKey &own,
                      TimePoint now);
-/// Where a try of @p print may go, however many are in flight.
-SuspectCare placementOf(const SuspectTable &table, const Fingerprint &print);
-/// A try of a suspect is in flight until endTry(), @p until at most. Ignored if it is no suspect.
-void beginTry(SuspectTable &table, const Fingerprint &print, const LoadKey &key, TimePoint until,
-              TimePoint now);
+/// Placement of an attempt, regardless of the number in flight: None, Apart or Alone.
+SuspectCare placementOf(const SuspectTable &table, const Fingerprint &fingerprint);
+/// Records an attempt of a suspect as in flight until endTry(), or until @p until at the latest. An
+/// attempt of a quarantined one counts as a probe. Ignored if the request is not a suspect.
+void beginTry(SuspectTable &table, const Fingerprint &fingerprint, const LoadKey &key,
+              TimePoint until, TimePoint now);
 void endTry(SuspectTable &table, const LoadKey &key);
-/// At most @p most, those with the most ends and then the latest first.
+/// Reports of at most @p most suspects, ordered by number of crashes (most first), then by age.
 std::vector<SuspectNews> newsOf(const SuspectTable &table, size_t most, TimePoint now);
+/// Whether the suspect of the report is quarantined.
 bool isCondemned(const SuspectTable &table, const SuspectNews &news);
-/// Drops what has not come again for long.
+/// Drops suspects that are older than SuspectSettings::m_retention.
 void forgetOldSuspects(SuspectTable &table, TimePoint now);
 
 } // namespace stackquay
