--- a/policy/choose_endpoint.cpp
+++ b/policy/choose_endpoint.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr uint32_t MaxEjectionDoublings = 8;
-/// A prefill goes in chunks if it takes more than this many times the bound of a chunk.
-constexpr int ChunkAboveBounds = 2;
+/// A prefill is chunked if it takes more than this many times the bound of one chunk.
+constexpr int ChunkThresholdFactor = 2;
 
-/// Smaller is better.
+/// Sort key by reported load; smaller is better.
 auto reportedRank(const EndpointView &view)
 {
     const auto &load = view.m_reported;
@@ -34,11 +34,11 @@
     return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-struct Scored {
+struct ScoredCandidate {
     StewardChoice m_choice;
     Duration m_cost{};
-    uint64_t m_affinity = 0; ///< 0 without a prefix.
-    bool m_overBound = false;
+    uint64_t m_affinity = 0; ///< Rendezvous score; 0 for prompts without a prefix block.
+    bool m_overBound = false; ///< Its number of grants exceeds the load bound.
     uint32_t m_grants = 0;
 };
 
@@ -52,17 +52,18 @@
     const uint32_t batch = candidate.m_ledger->m_totals.m_decoding;
     choice.m_predictedPrefill = predictPrefill(
         *candidate.m_cost, { choice.m_uncachedTokens, choice.m_cachedTokens, batch });
-    if (goesInChunks(weights, choice.m_predictedPrefill))
+    if (usesChunkedPrefill(weights, choice.m_predictedPrefill))
         choice.m_chunkTime = weights.m_chunkBound;
-    const auto ahead = choice.m_chunkTime == Duration::zero()
-                           ? blockingAhead(*candidate.m_ledger, now)
-                           : sharedAhead(*candidate.m_ledger, choice.m_predictedPrefill, now);
+    const auto ahead =
+        choice.m_chunkTime == Duration::zero()
+            ? unchunkedStartDelay(*candidate.m_ledger, now)
+            : chunkedPrefillDelay(*candidate.m_ledger, choice.m_predictedPrefill, now);
     choice.m_predictedTtft =
         ahead + choice.m_predictedPrefill + predictDecodeStep(*candidate.m_cost, batch + 1);
     return choice;
 }
 
-/// What the choice costs the others on the endpoint: each short one waits for a long prefill.
+/// Delay that a chunked prefill causes to the unchunked prefills on the endpoint: one chunk each.
 Duration interferenceCost(const StewardCandidate &candidate, const StewardChoice &choice,
                           const StewardWeights &weights)
 {
@@ -71,7 +72,7 @@
     const auto &ledger = *candidate.m_ledger;
     const auto waiting = ledger.m_totals.m_grants - ledger.m_totals.m_decoding;
     const double factor =
-        weights.m_interference * static_cast<double>(waiting - ledger.m_chunked.size());
+        weights.m_interferenceWeight * static_cast<double>(waiting - ledger.m_chunkedGrants.size());
     return std::chrono::duration_cast<Duration>(choice.m_chunkTime * factor);
 }
 
@@ -88,37 +89,42 @@
     return usable == 0 ? 0 : grants / usable;
 }
 
-LedgerRefusal leastRefusal(std::optional<LedgerRefusal> known, LedgerRefusal other)
+/// The reason to report for several candidates.
+LedgerRefusal combineRefusals(std::optional<LedgerRefusal> known, LedgerRefusal other)
 {
-    // TooLong is final, so it is the answer only if every candidate gives it. Memory depends on the
-    // request's size, so it goes before the reasons that hold for others of its kind too.
+    // TooLong is final, so it is reported only if it applies to every candidate. Memory depends on
+    // the size of the request, so it takes precedence over reasons that apply to all requests of
+    // the same kind.
     if (!known || *known == LedgerRefusal::TooLong || other == LedgerRefusal::Memory)
         return other;
     return *known;
 }
 
-/// Tokens of a chunk that keeps its time even at the end of the prompt.
-uint64_t lastChunkTokens(const StewardCandidate &candidate, const RequestNeed &need,
-                         const StewardChoice &choice)
+/// Tokens of a chunk that stays within the chunk time even at the end of the prompt, where a token
+/// costs the most.
+uint64_t minChunkTokens(const StewardCandidate &candidate, const RequestNeed &need,
+                        const StewardChoice &choice)
 {
     const uint32_t batch = candidate.m_ledger->m_totals.m_decoding;
     return chunkTokens(*candidate.m_cost, { 0, need.m_promptTokens, batch }, choice.m_chunkTime);
 }
 
-/// Whether @p left is to be preferred to @p right.
-bool isBetter(const Scored &left, const Scored &right, Duration tolerated)
+/// Whether @p left is the better choice. Candidates that cost at most @p maxPreferred and are
+/// within the load bound come first, by affinity; the others by cost.
+bool isBetter(const ScoredCandidate &left, const ScoredCandidate &right, Duration maxPreferred)
 {
-    const bool leftGood = left.m_cost <= tolerated && !left.m_overBound;
-    const bool rightGood = right.m_cost <= tolerated && !right.m_overBound;
-    if (leftGood != rightGood)
-        return leftGood;
-    if (leftGood)
+    const bool leftPreferred = left.m_cost <= maxPreferred && !left.m_overBound;
+    const bool rightPreferred = right.m_cost <= maxPreferred && !right.m_overBound;
+    if (leftPreferred != rightPreferred)
+        return leftPreferred;
+    if (leftPreferred)
         return std::tuple(right.m_affinity, left.m_grants)
                < std::tuple(left.m_affinity, right.m_grants);
     return std::tuple(left.m_cost, left.m_grants) < std::tuple(right.m_cost, right.m_grants);
 }
 
-Duration toleratedCost(const std::vector<Scored> &scored, const StewardWeights &weights)
+/// Highest cost that counts as equal to the lowest one. @p scored is not empty.
+Duration maxPreferredCost(const std::vector<ScoredCandidate> &scored, const StewardWeights &weights)
 {
     const auto best =
         std::min_element(scored.begin(), scored.end(), [](const auto &left, const auto &right) {
@@ -162,7 +168,7 @@
 bool noteFailure(EndpointHealth &health, TimePoint now, const EjectionSettings &settings)
 {
     ++health.m_failures;
-    if (health.m_failures < settings.m_failures && !isOnTrial(health, now))
+    if (health.m_failures < settings.m_failures && !isOnProbation(health, now))
         return false;
     eject(health, now, settings);
     return true;
@@ -177,7 +183,7 @@
     health.m_ejectedUntil = now + pause;
 }
 
-bool isOnTrial(const EndpointHealth &health, TimePoint now)
+bool isOnProbation(const EndpointHealth &health, TimePoint now)
 {
     return health.m_ejections > 0 && !isEjected(health, now);
 }
@@ -245,16 +251,16 @@
 {
     StewardWeights weights;
     if (objective == RoutingObjective::TtftByLength) {
-        weights.m_interference = 0.25;
+        weights.m_interferenceWeight = 0.25;
         weights.m_chunkBound = Millis(200);
     }
     return weights;
 }
 
-bool goesInChunks(const StewardWeights &weights, Duration prefill)
+bool usesChunkedPrefill(const StewardWeights &weights, Duration prefill)
 {
     const Duration bound = weights.m_chunkBound;
-    return bound > Duration::zero() && prefill > bound * ChunkAboveBounds;
+    return bound > Duration::zero() && prefill > bound * ChunkThresholdFactor;
 }
 
 tl::expected<StewardChoice, LedgerRefusal>
@@ -264,13 +270,13 @@
     const uint64_t key = affinityKey(need.m_prefix);
     const double bound = meanGrants(candidates) * weights.m_loadBound + 1;
     std::optional<LedgerRefusal> refusal;
-    std::vector<Scored> scored;
+    std::vector<ScoredCandidate> scored;
     scored.reserve(candidates.size());
     for (size_t i = 0; i < candidates.size(); ++i) {
         const auto &candidate = candidates[i];
         if (!candidate.m_usable)
             continue;
-        Scored entry{ predictChoice(candidate, need, now, weights) };
+        ScoredCandidate entry{ predictChoice(candidate, need, now, weights) };
         entry.m_choice.m_index = i;
         const auto misfit =
             checkFits(*candidate.m_ledger,
@@ -281,7 +287,7 @@
         if (misfit || (isLong && !candidate.m_acceptsLong)) {
             const auto reason = misfit.value_or(LedgerRefusal::LongPrefill);
             if (reason != LedgerRefusal::TooLong || !refusal)
-                refusal = leastRefusal(refusal, reason);
+                refusal = combineRefusals(refusal, reason);
             continue;
         }
         entry.m_cost =
@@ -293,14 +299,14 @@
     }
     if (scored.empty())
         return tl::unexpected(refusal.value_or(LedgerRefusal::Slots));
-    const auto tolerated = toleratedCost(scored, weights);
+    const auto maxPreferred = maxPreferredCost(scored, weights);
     const auto best =
         std::min_element(scored.begin(), scored.end(), [&](const auto &left, const auto &right) {
-            return isBetter(left, right, tolerated);
+            return isBetter(left, right, maxPreferred);
         });
     auto choice = best->m_choice;
     if (choice.m_chunkTime > Duration::zero())
-        choice.m_chunkTokens = lastChunkTokens(candidates[choice.m_index], need, choice);
+        choice.m_chunkTokens = minChunkTokens(candidates[choice.m_index], need, choice);
     return choice;
 }
 
--- a/policy/ejection.cpp
+++ b/policy/ejection.cpp
@@ -6,17 +6,19 @@
 
 namespace {
 
-/// Whether the failures of @p shared are of their endpoint, one of @p endpoints.
-bool isToBlame(const EjectionTable &table, const SharedFailures &shared, bool onTrial,
-               size_t endpoints)
+/// Whether @p peerFailures are attributed to their endpoint. @p endpoints: number of endpoints in
+/// total.
+bool shouldEject(const EjectionTable &table, const PeerFailures &peerFailures, bool onProbation,
+                 size_t endpoints)
 {
-    const SharedFailureSettings &settings = table.m_sharedSettings;
-    if (shared.m_vms.size() < (onTrial ? settings.m_vmsOnTrial : settings.m_vms))
+    const PeerFailureSettings &settings = table.m_peerSettings;
+    if (peerFailures.m_failingVms.size()
+        < (onProbation ? settings.m_minVmsOnProbation : settings.m_minVms))
         return false;
-    if (!onTrial && shared.m_lastAt - shared.m_firstAt < settings.m_leastSpan)
+    if (!onProbation && peerFailures.m_lastAt - peerFailures.m_firstAt < settings.m_minSpan)
         return false;
-    const double most = settings.m_mostFailing * static_cast<double>(endpoints);
-    return static_cast<double>(table.m_shared.size()) <= std::max(most, 1.0);
+    const double most = settings.m_maxFailingShare * static_cast<double>(endpoints);
+    return static_cast<double>(table.m_peerFailures.size()) <= std::max(most, 1.0);
 }
 
 } // namespace
@@ -37,33 +39,36 @@
 void recordSuccess(EjectionTable &table, const EndpointId &endpoint)
 {
     table.m_endpoints.erase(endpoint);
-    table.m_shared.erase(endpoint);
+    table.m_peerFailures.erase(endpoint);
 }
 
 bool recordSharedFailure(EjectionTable &table, const EndpointId &endpoint, size_t endpoints,
                          uint64_t vm, TimePoint now)
 {
-    std::erase_if(table.m_shared, [&](const auto &entry) {
-        return entry.second.m_lastAt + table.m_sharedSettings.m_memory < now;
+    std::erase_if(table.m_peerFailures, [&](const auto &entry) {
+        return entry.second.m_lastAt + table.m_peerSettings.m_window < now;
     });
-    SharedFailures &shared = table.m_shared[endpoint];
-    if (shared.m_vms.empty())
-        shared.m_firstAt = now;
-    shared.m_lastAt = now;
-    if (std::find(shared.m_vms.begin(), shared.m_vms.end(), vm) == shared.m_vms.end())
-        shared.m_vms.push_back(vm);
+    PeerFailures &peerFailures = table.m_peerFailures[endpoint];
+    if (peerFailures.m_failingVms.empty())
+        peerFailures.m_firstAt = now;
+    peerFailures.m_lastAt = now;
+    if (std::find(peerFailures.m_failingVms.begin(), peerFailures.m_failingVms.end(), vm)
+        == peerFailures.m_failingVms.end())
+        peerFailures.m_failingVms.push_back(vm);
     const auto health = table.m_endpoints.find(endpoint);
-    const bool onTrial = health != table.m_endpoints.end() && isOnTrial(health->second, now);
-    if (isEjected(table, endpoint, now) || !isToBlame(table, shared, onTrial, endpoints))
+    const bool onProbation =
+        health != table.m_endpoints.end() && isOnProbation(health->second, now);
+    if (isEjected(table, endpoint, now)
+        || !shouldEject(table, peerFailures, onProbation, endpoints))
         return false;
     eject(table.m_endpoints[endpoint], now, table.m_settings);
-    table.m_shared.erase(endpoint);
+    table.m_peerFailures.erase(endpoint);
     return true;
 }
 
 void recordSharedSuccess(EjectionTable &table, const EndpointId &endpoint)
 {
-    table.m_shared.erase(endpoint);
+    table.m_peerFailures.erase(endpoint);
 }
 
 bool isEjected(const EjectionTable &table, const EndpointId &endpoint, TimePoint now)
@@ -80,7 +85,7 @@
         if (!isEjected(table, endpoint.m_id, now))
             healthy.push_back(endpoint);
     }
-    const auto least = LeastHealthyShare * static_cast<double>(pool.size());
+    const auto least = MinHealthyShare * static_cast<double>(pool.size());
     return static_cast<double>(healthy.size()) >= least ? healthy : pool;
 }
 
--- a/policy/ejection.h
+++ b/policy/ejection.h
@@ -1,12 +1,13 @@
-/// Endpoints that fail are left out for a while, from what this VM itself has seen of them.
+/// Outlier ejection: endpoints that fail get no requests for a while.
 ///
-/// Health answers and the directory may be wrong either way, and an endpoint may be bad for some
-/// callers only, so each VM judges by its own outcomes and those of VMs in its data centre. A part
-/// of each pool is always left in.
+/// Health checks and the directory may be wrong in either direction, and an endpoint may fail for
+/// some callers only. Each VM therefore decides from the results of its own requests and of those
+/// of other VMs in its data centre. A minimum share of each pool is never ejected.
 ///
-/// Each VM of a large fleet sees little of an endpoint. So the VMs tell each other of answers that
-/// an endpoint broke off, and of its successes: an endpoint at which several VMs failed in a row is
-/// left out by all. One VM alone, or one whose way there is bad, decides for itself only.
+/// In a large fleet, each VM sends only few requests to an endpoint. The VMs therefore report
+/// interrupted answers and successes to each other: all of them eject an endpoint at which several
+/// VMs failed without a success in between. The failures of a single VM, whose network path may be
+/// at fault, eject the endpoint for this VM only.
 #pragma once
 
 #include <unordered_map>
@@ -18,58 +19,63 @@
 
 namespace stackquay {
 
-/// How telling a failure is, as the failures in a row that it counts for.
+/// Evidence of a failure against the endpoint: the number of consecutive failures it counts as.
 enum class FailureWeight : uint32_t {
-    None = 0, ///< A full endpoint: it works.
-    Chance = 1, ///< One answer lost or spoilt.
-    Telling = 2, ///< No connection, or another process at the address.
+    None = 0, ///< The endpoint refused for lack of capacity: it works.
+    Chance = 1, ///< Weak: one answer was lost or corrupted.
+    Telling = 2, ///< Strong: no connection, or another process at the address.
 };
 
-/// VMs that failed at an endpoint since its last success at any VM, as far as this one has heard.
-struct SharedFailures {
-    std::vector<uint64_t> m_vms; ///< Each once.
+/// Failures of all VMs at an endpoint since its last success at any VM, as reported to this VM.
+struct PeerFailures {
+    std::vector<uint64_t> m_failingVms; ///< Without duplicates.
     TimePoint m_firstAt{};
     TimePoint m_lastAt{};
 };
 
-struct SharedFailureSettings {
-    size_t m_vms = 3; ///< So many different VMs eject; more than one may be wrong.
-    size_t m_vmsOnTrial = 2; ///< Where several were right before.
-    /// Unless more than this part of all endpoints failed lately: what breaks off answers
-    /// everywhere is not an endpoint.
-    double m_mostFailing = 0.2;
-    /// Connections that are reset together say nothing of an endpoint either.
-    Millis m_leastSpan{ 20 };
-    /// Failures further apart are not of one fault; an endpoint in use succeeds between.
-    Millis m_memory{ 2'000 };
+struct PeerFailureSettings {
+    size_t m_minVms = 3; ///< Different VMs whose failures eject; one or two may be mistaken.
+    size_t m_minVmsOnProbation = 2; ///< For an endpoint on probation.
+    /// No ejection while more than this fraction of all endpoints has recent failures: the cause is
+    /// then not a single endpoint.
+    double m_maxFailingShare = 0.2;
+    /// Shortest time from the first to the last failure. Connections that are all reset at the same
+    /// moment are no evidence against an endpoint.
+    Millis m_minSpan{ 20 };
+    /// Failures further apart than this have different causes: an endpoint in use succeeds in
+    /// between.
+    Millis m_window{ 2'000 };
 };
 
 struct EjectionTable {
-    /// Two in a row eject; short, as a worker that is back has a new id, and one that is slow for a
-    /// moment is needed.
+    /// Two consecutive failures eject. Ejections are short, since a restarted worker has a new id
+    /// and one that was slow only briefly is needed.
     EjectionSettings m_settings{ 2, Millis(1'000), Millis(8'000) };
-    SharedFailureSettings m_sharedSettings;
+    PeerFailureSettings m_peerSettings;
     std::unordered_map<EndpointId, EndpointHealth> m_endpoints;
-    std::unordered_map<EndpointId, SharedFailures> m_shared;
+    std::unordered_map<EndpointId, PeerFailures> m_peerFailures;
 };
 
-/// Returns whether the endpoint is ejected by this failure.
+/// Records a failure of a request of this VM. Returns whether it ejects the endpoint.
 bool recordFailure(EjectionTable &table, const EndpointId &endpoint, FailureWeight weight,
                    TimePoint now);
+/// Records a success of a request of this VM: resets all failures and ejections of the endpoint.
 void recordSuccess(EjectionTable &table, const EndpointId &endpoint);
-/// The endpoint, one of @p endpoints, broke off an answer to @p vm, this one or another. Returns
-/// whether it is ejected by this failure.
+/// Records that the endpoint interrupted an answer to @p vm, this VM or another. @p endpoints:
+/// number of endpoints in total. Returns whether the failure ejects the endpoint.
 bool recordSharedFailure(EjectionTable &table, const EndpointId &endpoint, size_t endpoints,
                          uint64_t vm, TimePoint now);
-/// It answered another VM, which says nothing of this one's own way there.
+/// Records a success at another VM. Failures of this VM's own requests stay, as its network path
+/// differs.
 void recordSharedSuccess(EjectionTable &table, const EndpointId &endpoint);
 bool isEjected(const EjectionTable &table, const EndpointId &endpoint, TimePoint now);
 
-/// Endpoints of a pool that stay in at least, as a share: in a cut data centre of three, a third of
-/// the endpoints can be reached.
-constexpr double LeastHealthyShare = 0.25;
+/// Smallest fraction of a pool to use. With three data centres, a data centre that is cut off still
+/// reaches a third of the endpoints.
+constexpr double MinHealthyShare = 0.25;
 
-/// Those of @p pool that are not ejected; all, if too few would be left.
+/// The endpoints of @p pool that are not ejected; all of @p pool if they are fewer than
+/// MinHealthyShare.
 std::vector<EndpointRecord> healthyOf(const EjectionTable &table, std::vector<EndpointRecord> pool,
                                       TimePoint now);
 
--- a/policy/endpoint_ledger.cpp
+++ b/policy/endpoint_ledger.cpp
@@ -26,7 +26,7 @@
     }
 }
 
-void takeFromTotals(LedgerTotals &totals, const Grant &grant)
+void subtractFromTotals(LedgerTotals &totals, const Grant &grant)
 {
     --totals.m_grants;
     totals.m_memoryTokens -= grant.m_memoryTokens;
@@ -44,21 +44,24 @@
 void beginPrefill(EndpointLedger &ledger, const Grant &grant)
 {
     if (grant.m_chunkTime > Duration::zero())
-        ledger.m_chunked.push_back({ grant.m_id, grant.m_predictedPrefill, grant.m_chunkTime });
+        ledger.m_chunkedGrants.push_back(
+            { grant.m_id, grant.m_predictedPrefill, grant.m_chunkTime });
     else
-        ledger.m_wholeAhead += grant.m_predictedPrefill;
+        ledger.m_unchunkedPrefillTime += grant.m_predictedPrefill;
 }
 
 void endPrefill(EndpointLedger &ledger, const Grant &grant, TimePoint now)
 {
     ledger.m_prefillSince = now;
     if (grant.m_chunkTime > Duration::zero())
-        std::erase_if(ledger.m_chunked, [&](const auto &e) { return e.m_grant == grant.m_id; });
+        std::erase_if(ledger.m_chunkedGrants,
+                      [&](const auto &e) { return e.m_grant == grant.m_id; });
     else
-        ledger.m_wholeAhead -= grant.m_predictedPrefill;
+        ledger.m_unchunkedPrefillTime -= grant.m_predictedPrefill;
 }
 
-Duration lessPassed(const EndpointLedger &ledger, Duration ahead, TimePoint now)
+/// @p ahead less the time since the current prefill started; not below zero.
+Duration subtractElapsed(const EndpointLedger &ledger, Duration ahead, TimePoint now)
 {
     const auto passed = std::max(Duration::zero(), now - ledger.m_prefillSince);
     return std::max(Duration::zero(), ahead - passed);
@@ -112,13 +115,13 @@
     const bool isLong = isLongPrefill(lengthClass(need.m_uncachedTokens));
     if (isLong && !fitsLongBudget(ledger, need.m_uncachedTokens))
         return LedgerRefusal::LongPrefill;
-    if (need.m_inChunks) {
+    if (need.m_chunkedPrefill) {
         const bool full = capacity.m_chunkedPrefills != 0
-                          && ledger.m_chunked.size() >= capacity.m_chunkedPrefills;
+                          && ledger.m_chunkedGrants.size() >= capacity.m_chunkedPrefills;
         return full ? std::optional(LedgerRefusal::ChunkedPrefill) : std::nullopt;
     }
     const bool bounded = capacity.m_backlog > Duration::zero();
-    if (bounded && lessPassed(ledger, ledger.m_wholeAhead, now) > capacity.m_backlog)
+    if (bounded && subtractElapsed(ledger, ledger.m_unchunkedPrefillTime, now) > capacity.m_backlog)
         return LedgerRefusal::Backlog;
     return std::nullopt;
 }
@@ -159,7 +162,7 @@
         return false;
     auto &grant = found->second;
     endPrefill(ledger, grant, now);
-    takeFromTotals(ledger.m_totals, grant);
+    subtractFromTotals(ledger.m_totals, grant);
     grant.m_phase = GrantPhase::Decode;
     grant.m_since = now;
     addToTotals(ledger.m_totals, grant);
@@ -194,13 +197,13 @@
         return std::nullopt;
     auto grant = std::move(found->second);
     ledger.m_grants.erase(found);
-    takeFromTotals(ledger.m_totals, grant);
+    subtractFromTotals(ledger.m_totals, grant);
     if (inPrefill(grant))
         endPrefill(ledger, grant, now);
     return grant;
 }
 
-std::vector<Grant> sweepExpired(EndpointLedger &ledger, TimePoint now)
+std::vector<Grant> releaseExpired(EndpointLedger &ledger, TimePoint now)
 {
     std::vector<GrantId> expired;
     for (const auto &[id, grant] : ledger.m_grants) {
@@ -220,32 +223,32 @@
         released.push_back(std::move(grant));
     ledger.m_grants.clear();
     ledger.m_totals = {};
-    ledger.m_wholeAhead = Duration::zero();
-    ledger.m_chunked.clear();
+    ledger.m_unchunkedPrefillTime = Duration::zero();
+    ledger.m_chunkedGrants.clear();
     return released;
 }
 
-Duration prefillAhead(const EndpointLedger &ledger, TimePoint now)
+Duration remainingPrefillTime(const EndpointLedger &ledger, TimePoint now)
 {
-    auto ahead = ledger.m_wholeAhead;
-    for (const auto &chunked : ledger.m_chunked)
-        ahead += chunked.m_left;
-    return lessPassed(ledger, ahead, now);
+    auto ahead = ledger.m_unchunkedPrefillTime;
+    for (const auto &chunked : ledger.m_chunkedGrants)
+        ahead += chunked.m_remainingTime;
+    return subtractElapsed(ledger, ahead, now);
 }
 
-Duration blockingAhead(const EndpointLedger &ledger, TimePoint now)
+Duration unchunkedStartDelay(const EndpointLedger &ledger, TimePoint now)
 {
     Duration chunk{};
-    for (const auto &chunked : ledger.m_chunked)
-        chunk = std::max(chunk, std::min(chunked.m_left, chunked.m_chunkTime));
-    return lessPassed(ledger, ledger.m_wholeAhead + chunk, now);
+    for (const auto &chunked : ledger.m_chunkedGrants)
+        chunk = std::max(chunk, std::min(chunked.m_remainingTime, chunked.m_chunkTime));
+    return subtractElapsed(ledger, ledger.m_unchunkedPrefillTime + chunk, now);
 }
 
-Duration sharedAhead(const EndpointLedger &ledger, Duration own, TimePoint now)
+Duration chunkedPrefillDelay(const EndpointLedger &ledger, Duration own, TimePoint now)
 {
-    auto ahead = lessPassed(ledger, ledger.m_wholeAhead, now);
-    for (const auto &chunked : ledger.m_chunked)
-        ahead += std::min(chunked.m_left, own);
+    auto ahead = subtractElapsed(ledger, ledger.m_unchunkedPrefillTime, now);
+    for (const auto &chunked : ledger.m_chunkedGrants)
+        ahead += std::min(chunked.m_remainingTime, own);
     return ahead;
 }
 
--- a/policy/endpoint_ledger.h
+++ b/policy/endpoint_ledger.h
@@ -1,7 +1,8 @@
-/// The steward's exact account of one endpoint: what has been granted and what is in flight.
+/// The steward's accounting for one endpoint: its capacity and the grants that use it.
 ///
-/// A grant is released exactly once, whichever comes first: finished, refused, expired or revoked.
-/// Every sum is the sum over the live grants, so nothing leaks and nothing goes below zero.
+/// A grant permits its holder to send one request to the endpoint. It is released exactly once, by
+/// the first of: finished, refused, expired, revoked. Each total is the sum over the live grants,
+/// so capacity cannot leak and totals cannot become negative.
 #pragma once
 
 #include <array>
@@ -17,125 +18,130 @@
 namespace stackquay {
 
 enum class GrantPhase {
-    Granted, ///< Given out; the holder has not said yet that it started.
-    Prefill, ///< Started on the endpoint, no token yet.
-    Decode, ///< The first token came.
+    Granted, ///< Issued; the holder has not reported the start yet.
+    Prefill, ///< Started on the endpoint; no token yet.
+    Decode, ///< The first token was produced.
 };
 
 struct Grant {
     GrantId m_id;
     AttemptId m_attempt;
     CustomerId m_customer;
-    VmId m_holder; ///< The VM that asked and talks to the endpoint.
+    VmId m_holder; ///< The VM that requested the grant and sends the request.
     LengthClass m_class = LengthClass::Short;
     uint64_t m_uncachedTokens = 0;
     uint64_t m_cachedTokens = 0;
-    uint64_t m_memoryTokens = 0; ///< KV cache that prompt and answer may take.
-    uint64_t m_outputTokens = 0; ///< At most.
-    uint32_t m_batch = 0; ///< Requests that decoded on the endpoint when it was granted.
-    Duration m_predictedPrefill{}; ///< Of what is left of the prefill.
-    Duration m_chunkTime{}; ///< Of one chunk, if it goes in chunks; zero: all at once.
-    /// Until when it is valid; moved on by starting, and by each sign of life of the holder.
-    TimePoint m_expiry;
+    uint64_t m_memoryTokens = 0; ///< Most KV cache of prompt and answer.
+    uint64_t m_outputTokens = 0; ///< Upper limit.
+    uint32_t m_batch = 0; ///< Requests in decode on the endpoint at the time of the grant.
+    Duration m_predictedPrefill{}; ///< Time of the remaining prefill.
+    Duration m_chunkTime{}; ///< Longest time of one chunk; zero: unchunked.
+    TimePoint m_expiry; ///< Extended by the start and by each heartbeat of the holder.
     GrantPhase m_phase = GrantPhase::Granted;
-    TimePoint m_since; ///< When the phase began.
+    TimePoint m_since; ///< Start of the phase.
 };
 
-/// What one endpoint takes at once. Zero means unlimited.
+/// Limits of one endpoint. Zero means unlimited.
 struct EndpointCapacity {
     uint64_t m_memoryTokens = 0;
     uint32_t m_slots = 64; ///< Requests in flight.
-    uint32_t m_longPrefills = 1; ///< Prefills at once for which isLongPrefill() holds.
-    uint64_t m_longTokens = 0; ///< Tokens of such prefills at once; one alone always fits.
-    uint32_t m_chunkedPrefills = 3; ///< Prefills in chunks at once, long ones included.
-    /// Time of whole prefills ahead up to which the endpoint takes another one. What comes later
-    /// waits at the steward, where the order is ours.
+    uint32_t m_longPrefills = 1; ///< Concurrent prefills for which isLongPrefill() holds.
+    uint64_t m_longTokens = 0; ///< Total uncached tokens of these; a single one always fits.
+    uint32_t m_chunkedPrefills = 3; ///< Concurrent chunked prefills, including long ones.
+    /// Predicted time of queued unchunked prefills up to which the endpoint accepts another one.
+    /// Beyond it, requests wait at the steward, which orders them by priority and fairness.
     Duration m_backlog{};
 };
 
 /// Sums over the live grants.
 struct LedgerTotals {
     uint32_t m_grants = 0;
-    uint32_t m_decoding = 0;
+    uint32_t m_decoding = 0; ///< Grants in the phase Decode.
     uint64_t m_memoryTokens = 0;
-    uint64_t m_prefillTokens = 0; ///< Of grants without a first token.
-    uint32_t m_longPrefills = 0;
-    uint64_t m_longTokens = 0;
+    uint64_t m_prefillTokens = 0; ///< Uncached tokens of the grants that are not in Decode.
+    uint32_t m_longPrefills = 0; ///< Grants before Decode for which isLongPrefill() holds.
+    uint64_t m_longTokens = 0; ///< Uncached tokens of these.
 
     bool operator==(const LedgerTotals &) const = default;
 };
 
-/// A prefill that goes in chunks, so that others run between them.
+/// A chunked prefill in progress; other requests run between its chunks.
 struct ChunkedPrefill {
     GrantId m_grant;
-    Duration m_left{};
-    Duration m_chunkTime{};
+    Duration m_remainingTime{}; ///< Predicted time of the remaining prefill.
+    Duration m_chunkTime{}; ///< As Grant::m_chunkTime.
 };
 
 struct EndpointLedger {
     EndpointId m_endpoint;
     EndpointCapacity m_capacity;
     LedgerTotals m_totals;
-    Duration m_wholeAhead{}; ///< Predicted time of the prefills that go all at once.
-    std::vector<ChunkedPrefill> m_chunked;
-    TimePoint m_prefillSince; ///< When the engine began the prefill that it is at.
+    Duration m_unchunkedPrefillTime{}; ///< Predicted time of the unchunked prefills.
+    std::vector<ChunkedPrefill> m_chunkedGrants;
+    TimePoint m_prefillSince; ///< Start of the prefill or chunk that the engine runs now.
     std::unordered_map<GrantId, Grant> m_grants;
 };
 
-/// Why an endpoint takes no further request now.
+/// Why a request does not fit on an endpoint.
 enum class LedgerRefusal {
-    Memory,
-    Slots,
-    LongPrefill,
-    ChunkedPrefill,
-    Backlog,
-    TooLong, ///< More than the endpoint's whole memory: it will never fit.
+    Memory, ///< Not enough free KV cache now.
+    Slots, ///< All slots are in use.
+    LongPrefill, ///< The limits for long prefills are reached, or the engine accepts none.
+    ChunkedPrefill, ///< The limit of chunked prefills is reached.
+    Backlog, ///< The backlog of unchunked prefills exceeds the limit.
+    TooLong, ///< Needs more than the endpoint's total memory: it will never fit.
 };
 
+/// Name in logs and metrics.
 std::string_view ledgerRefusalName(LedgerRefusal refusal);
 
-/// What a request would take.
+/// Capacity that a request needs.
 struct LedgerNeed {
     uint64_t m_uncachedTokens = 0;
-    uint64_t m_memoryTokens = 0;
-    bool m_inChunks = false;
+    uint64_t m_memoryTokens = 0; ///< As Grant::m_memoryTokens.
+    bool m_chunkedPrefill = false;
 };
 
-/// Nothing if the request fits now, else the reason.
+/// Nothing if the request fits now, else the reason why not.
 std::optional<LedgerRefusal> checkFits(const EndpointLedger &ledger, const LedgerNeed &need,
                                        TimePoint now);
 
-/// Enters a grant, whether or not it fits: a new steward adopts what is in flight. False if the id
-/// is already there.
+/// Adds a grant, even beyond the capacity, since a new steward adopts all requests in flight. False
+/// if the id is known already.
 bool addGrant(EndpointLedger &ledger, Grant grant, TimePoint now);
-/// Converts a grant to in-flight. False if it is no longer there: it expired or was revoked.
+/// Starts the prefill phase and extends the expiry. Idempotent. False if the grant is unknown: it
+/// expired or was revoked.
 bool startGrant(EndpointLedger &ledger, const GrantId &id, TimePoint now, TimePoint expiry);
-/// The first token came: the prefill is over. False if unknown or repeated.
+/// Ends the prefill at the first token. False if the grant is unknown or already in Decode.
 bool noteFirstToken(EndpointLedger &ledger, const GrantId &id, TimePoint now);
-/// A chunk of the prefill is done: the engine is at the next piece of work now.
+/// Records that a chunk is done and that the rest of the prefill is predicted to take @p
+/// prefillLeft. False if the grant is unknown or already in Decode.
 bool noteChunk(EndpointLedger &ledger, const GrantId &id, Duration prefillLeft, TimePoint now);
-/// Moves the expiry on. False if unknown.
+/// Extends the expiry; never shortens it. False if the grant is unknown.
 bool extendGrant(EndpointLedger &ledger, const GrantId &id, TimePoint expiry);
-/// Takes a grant out, in any phase. Idempotent: nothing the second time.
+/// Removes a grant, in any phase, and returns it. Idempotent: nothing if the grant is unknown.
 std::optional<Grant> releaseGrant(EndpointLedger &ledger, const GrantId &id, TimePoint now);
-/// Releases what has expired and returns it.
-std::vector<Grant> sweepExpired(EndpointLedger &ledger, TimePoint now);
-/// Releases all grants, as the endpoint has left.
+/// Releases the expired grants and returns them.
+std::vector<Grant> releaseExpired(EndpointLedger &ledger, TimePoint now);
+/// Releases all grants and returns them. For endpoints that are removed.
 std::vector<Grant> revokeAll(EndpointLedger &ledger);
 
-/// Predicted time until the prefills granted so far are done.
-Duration prefillAhead(const EndpointLedger &ledger, TimePoint now);
-/// Predicted time until a newcomer that goes all at once begins: it overtakes waiting chunks.
-Duration blockingAhead(const EndpointLedger &ledger, TimePoint now);
-/// Predicted time that others take from a newcomer of @p own prefill time that goes in chunks: it
-/// takes turns with the other chunks, and lets whole prefills pass.
-Duration sharedAhead(const EndpointLedger &ledger, Duration own, TimePoint now);
-/// The sums, counted anew from the grants.
+/// Predicted time until all granted prefills are done.
+Duration remainingPrefillTime(const EndpointLedger &ledger, TimePoint now);
+/// Predicted delay before a new unchunked prefill starts: the unchunked ones ahead and the chunk
+/// that is running. It overtakes waiting chunks.
+Duration unchunkedStartDelay(const EndpointLedger &ledger, TimePoint now);
+/// Predicted delay of a new chunked prefill that takes @p own by itself: it alternates with the
+/// chunks of the others, and unchunked prefills overtake it.
+Duration chunkedPrefillDelay(const EndpointLedger &ledger, Duration own, TimePoint now);
+/// The totals, recomputed from the grants.
 LedgerTotals countTotals(const EndpointLedger &ledger);
 
-/// Corrects the capacity by an endpoint that refused with "queue_full" below it.
+/// Lowers the slots to the grants in flight, after the endpoint refused a request with
+/// "queue_full".
 void noteQueueFull(EndpointLedger &ledger);
-/// Lets the slots grow again, by one, while the endpoint takes what it gets.
+/// Raises lowered slots by one, up to @p maxSlots, if all are in use. Call for each completed
+/// request.
 void noteAccepted(EndpointLedger &ledger, uint32_t maxSlots);
 
 } // namespace stackquay
--- a/tests/policy/choose_endpoint_test.cpp
+++ b/tests/policy/choose_endpoint_test.cpp
@@ -15,7 +15,7 @@
     return result;
 }
 
-TEST(RoutingPolicyTest, NamesParseBack)
+TEST(RoutingPolicyTest, NamesRoundTrip)
 {
     for (const char *name : { "round-robin", "least-reported", "steward" })
         EXPECT_EQ(routingPolicyName(*parseRoutingPolicy(name)), name);
@@ -34,7 +34,7 @@
     EXPECT_FALSE(chooseRoundRobin(state, {}, {}, Now));
 }
 
-TEST(BaselineTest, LeastReportedTakesTheLeastAndSpreadsTies)
+TEST(BaselineTest, LeastReportedChoosesTheLowestLoadAndSpreadsTies)
 {
     auto endpoints = views(3);
     endpoints[0].m_reported.m_prefillBacklogTokens = 10;
@@ -47,7 +47,7 @@
     EXPECT_GT(counts[2], 100);
 }
 
-TEST(EjectionTest, FailuresInARowEjectLongerEachTime)
+TEST(EjectionTest, ConsecutiveFailuresEjectForLongerEachTime)
 {
     EndpointHealth health;
     EXPECT_FALSE(noteFailure(health, Now));
@@ -58,13 +58,13 @@
     EXPECT_TRUE(isEjected(health, Now + Millis(1'999)));
     const auto later = Now + Seconds(2);
     EXPECT_FALSE(isEjected(health, later));
-    EXPECT_TRUE(noteFailure(health, later)); // On trial: one failure is enough.
+    EXPECT_TRUE(noteFailure(health, later)); // On probation: one failure ejects.
     EXPECT_TRUE(isEjected(health, later + Millis(3'999)));
     noteSuccess(health);
     EXPECT_FALSE(isEjected(health, later));
 }
 
-TEST(EjectionTest, AllEjectedStillServes)
+TEST(EjectionTest, UsesEjectedEndpointsIfAllAreEjected)
 {
     auto endpoints = views(3);
     for (auto &endpoint : endpoints)
@@ -114,7 +114,7 @@
     int m_next = 0;
 };
 
-TEST_F(StewardChoiceTest, TakesTheLeastPredictedTtft)
+TEST_F(StewardChoiceTest, ChoosesTheLowestPredictedTtft)
 {
     load(0, 3'000);
     load(1, 3'000);
@@ -126,7 +126,7 @@
     EXPECT_EQ(choice->m_predictedTtft, predictTtft(m_costs[2], EndpointQueue{}, 1'000));
 }
 
-TEST_F(StewardChoiceTest, FollowsTheCacheUntilItsQueueCostsMore)
+TEST_F(StewardChoiceTest, PrefersTheCachedPrefixUntilItsQueueCostsMore)
 {
     const PrefixBlocks prefix = { { 1, 11 }, { 2, 12 }, { 3, 13 }, { 4, 14 } };
     const RequestNeed need{ 2'000, 100, prefix };
@@ -137,20 +137,20 @@
     EXPECT_NE(choose(need)->m_index, 1u);
 }
 
-TEST_F(StewardChoiceTest, UnknownPrefixGoesToItsRendezvousWinnerWithBoundedLoad)
+TEST_F(StewardChoiceTest, UncachedPrefixIsPlacedByRendezvousHashingWithBoundedLoad)
 {
     const PrefixBlocks prefix = { { 1, 21 } };
     const RequestNeed need{ 1'000, 100, prefix };
-    const size_t home = choose(need)->m_index;
+    const size_t preferred = choose(need)->m_index;
     for (size_t i = 0; i < m_ledgers.size(); ++i)
         EXPECT_LE(affinityScore(21, m_ledgers[i].m_endpoint),
-                  affinityScore(21, m_ledgers[home].m_endpoint));
+                  affinityScore(21, m_ledgers[preferred].m_endpoint));
     for (int i = 0; i < 3; ++i)
-        load(home, 0);
-    EXPECT_NE(choose(need)->m_index, home);
+        load(preferred, 0);
+    EXPECT_NE(choose(need)->m_index, preferred);
 }
 
-TEST_F(StewardChoiceTest, LongPromptsKeepToTheirSetAndBudget)
+TEST_F(StewardChoiceTest, LongPromptsUseTheirEnginesWithinTheBudget)
 {
     for (size_t i = 0; i < 3; ++i)
         m_candidates[i].m_acceptsLong = false;
@@ -162,7 +162,7 @@
     EXPECT_NE(choose({ 1'000, 100, {} })->m_index, 3u);
 }
 
-TEST_F(StewardChoiceTest, TooLongOnlyIfItFitsNowhere)
+TEST_F(StewardChoiceTest, TooLongOnlyIfItFitsOnNoEndpoint)
 {
     for (auto &ledger : m_ledgers)
         ledger.m_capacity.m_memoryTokens = 50'000;
--- a/tests/policy/ejection_test.cpp
+++ b/tests/policy/ejection_test.cpp
@@ -17,7 +17,7 @@
     return record;
 }
 
-TEST(EjectionTest, TwoFailuresInARowOrOneTellingEject)
+TEST(EjectionTest, TwoConsecutiveWeakFailuresOrOneStrongEject)
 {
     EjectionTable table;
     EXPECT_FALSE(recordFailure(table, EndpointId("a"), FailureWeight::Chance, Start));
@@ -31,7 +31,7 @@
     EXPECT_FALSE(isEjected(table, EndpointId("c"), Start));
 }
 
-TEST(EjectionTest, EndsByItselfAndGrowsUpToItsMost)
+TEST(EjectionTest, EjectionEndsByItselfAndGrowsUpToTheLimit)
 {
     EjectionTable table;
     TimePoint now = Start;
@@ -48,8 +48,8 @@
     EXPECT_EQ(longest, table.m_settings.m_max);
 }
 
-// A data centre of three that is cut off reaches a third of the endpoints, and uses just these.
-TEST(EjectionTest, LeavesAPartOfEachPoolIn)
+// One of three data centres that is cut off reaches a third of the endpoints and uses only these.
+TEST(EjectionTest, UsesTheWholePoolIfTooFewAreHealthy)
 {
     EjectionTable table;
     std::vector<EndpointRecord> pool;
@@ -64,48 +64,48 @@
 
 const EndpointId Bad("bad");
 
-/// Of so many endpoints.
-constexpr size_t Pool = 60;
+constexpr size_t EndpointCount = 60;
 
-TEST(SharedFailureTest, ThreeVmsInARowEjectAndOneDoesNot)
+TEST(PeerFailureTest, FailuresOfThreeVmsEjectAndOfOneDoNot)
 {
     EjectionTable table;
     TimePoint now = Start;
     for (int i = 0; i < 100; ++i)
-        EXPECT_FALSE(recordSharedFailure(table, Bad, Pool, 1, now += Millis(10)));
-    EXPECT_FALSE(recordSharedFailure(table, Bad, Pool, 2, now += Millis(10)));
-    EXPECT_TRUE(recordSharedFailure(table, Bad, Pool, 3, now += Millis(10)));
+        EXPECT_FALSE(recordSharedFailure(table, Bad, EndpointCount, 1, now += Millis(10)));
+    EXPECT_FALSE(recordSharedFailure(table, Bad, EndpointCount, 2, now += Millis(10)));
+    EXPECT_TRUE(recordSharedFailure(table, Bad, EndpointCount, 3, now += Millis(10)));
     EXPECT_TRUE(isEjected(table, Bad, now));
 }
 
-// It answers others: the failures are of some callers' ways there, or of chance.
-TEST(SharedFailureTest, SuccessOfAnyVmBeginsAnew)
+// The endpoint answers other VMs: the failures are due to the network path of some VMs, or
+// isolated.
+TEST(PeerFailureTest, SuccessOfAnyVmResetsTheFailures)
 {
     EjectionTable table;
     TimePoint now = Start;
     for (uint64_t vm = 1; vm < 50; ++vm) {
-        EXPECT_FALSE(recordSharedFailure(table, Bad, Pool, vm, now += Millis(20)));
+        EXPECT_FALSE(recordSharedFailure(table, Bad, EndpointCount, vm, now += Millis(20)));
         if (vm % 2 == 0)
             recordSharedSuccess(table, Bad);
     }
-    // What this VM saw itself stays.
+    // Failures of this VM's own requests are not reset.
     EXPECT_FALSE(recordFailure(table, Bad, FailureWeight::Chance, now));
     recordSharedSuccess(table, Bad);
     EXPECT_TRUE(recordFailure(table, Bad, FailureWeight::Chance, now));
 }
 
-TEST(SharedFailureTest, FailuresFarApartAreNotOfOneFault)
+TEST(PeerFailureTest, FailuresFarApartDoNotEject)
 {
     EjectionTable table;
     TimePoint now = Start;
     for (uint64_t vm = 1; vm < 50; ++vm) {
-        EXPECT_FALSE(recordSharedFailure(table, Bad, Pool, vm, now));
-        now += table.m_sharedSettings.m_memory + Millis(1);
+        EXPECT_FALSE(recordSharedFailure(table, Bad, EndpointCount, vm, now));
+        now += table.m_peerSettings.m_window + Millis(1);
     }
 }
 
-// All connections of eight VMs are reset within some milliseconds.
-TEST(SharedFailureTest, ResetOfAllConnectionsEjectsNoEndpoint)
+// All connections of eight VMs are reset within a few milliseconds.
+TEST(PeerFailureTest, ResetOfAllConnectionsEjectsNoEndpoint)
 {
     constexpr uint64_t Vms = 8;
     constexpr size_t Engines = 18;
@@ -118,8 +118,8 @@
     }
 }
 
-// For seconds, answers of every endpoint break off: whatever it is, it is not one of them.
-TEST(SharedFailureTest, WhatHappensEverywhereEjectsNoEndpoint)
+// Answers of all endpoints are interrupted for seconds: the cause is not a single endpoint.
+TEST(PeerFailureTest, FailuresOfAllEndpointsEjectNone)
 {
     constexpr size_t Engines = 18;
     EjectionTable table;
@@ -130,20 +130,21 @@
     }
 }
 
-/// A fleet of @p vms that is asked @p perSecond times a second for 6 s, with one endpoint that
-/// resets each request after 10 ms. It has nothing in flight, so that each VM that does not leave
-/// it out takes it. A VM hears of another's failure after 5 ms. Returns the failed attempts.
-size_t failuresOnBlackHole(size_t vms, double perSecond)
+/// Simulates a fleet of @p vms VMs with @p perSecond requests per second for 6 s, with one endpoint
+/// that resets each request after 10 ms. Having nothing in flight, it looks idle, so each VM that
+/// has not ejected it sends its requests there. Reports of failures reach other VMs after 5 ms.
+/// Returns the number of failed attempts.
+size_t failuresOnResettingEndpoint(size_t vms, double perSecond)
 {
-    struct News {
+    struct Report {
         TimePoint m_at{};
         uint64_t m_vm = 0;
     };
     constexpr Millis ResetAfter{ 10 };
-    constexpr Millis Travel{ 5 };
+    constexpr Millis ReportDelay{ 5 };
     std::vector<EjectionTable> tables(vms);
-    std::deque<News> failures;
-    std::deque<News> news;
+    std::deque<Report> failures;
+    std::deque<Report> reports;
     std::mt19937_64 random(vms);
     size_t failed = 0;
     double due = 0;
@@ -152,13 +153,13 @@
             const uint64_t vm = failures.front().m_vm;
             ++failed;
             recordFailure(tables[vm], Bad, FailureWeight::Chance, now);
-            recordSharedFailure(tables[vm], Bad, Pool, vm, now);
-            news.push_back({ now + Travel, vm });
+            recordSharedFailure(tables[vm], Bad, EndpointCount, vm, now);
+            reports.push_back({ now + ReportDelay, vm });
         }
-        for (; !news.empty() && news.front().m_at <= now; news.pop_front()) {
+        for (; !reports.empty() && reports.front().m_at <= now; reports.pop_front()) {
             for (uint64_t vm = 0; vm < vms; ++vm) {
-                if (vm != news.front().m_vm)
-                    recordSharedFailure(tables[vm], Bad, Pool, news.front().m_vm, now);
+                if (vm != reports.front().m_vm)
+                    recordSharedFailure(tables[vm], Bad, EndpointCount, reports.front().m_vm, now);
             }
         }
         for (due += perSecond / 1'000; due >= 1; --due) {
@@ -170,14 +171,14 @@
     return failed;
 }
 
-/// Failed attempts on one such endpoint, in all.
-constexpr size_t MostFailures = 20;
+/// Limit for the failed attempts of the whole fleet.
+constexpr size_t MaxFailures = 20;
 
-TEST(SharedFailureTest, BlackHoleCostsAsLittleInALargeFleetAsInASmallOne)
+TEST(PeerFailureTest, ResettingEndpointCostsFewRequestsInAnyFleetSize)
 {
-    EXPECT_LE(failuresOnBlackHole(6, 45), MostFailures);
-    EXPECT_LE(failuresOnBlackHole(72, 106), MostFailures);
-    EXPECT_LE(failuresOnBlackHole(300, 266), MostFailures);
+    EXPECT_LE(failuresOnResettingEndpoint(6, 45), MaxFailures);
+    EXPECT_LE(failuresOnResettingEndpoint(72, 106), MaxFailures);
+    EXPECT_LE(failuresOnResettingEndpoint(300, 266), MaxFailures);
 }
 
 } // namespace
--- a/tests/policy/endpoint_ledger_test.cpp
+++ b/tests/policy/endpoint_ledger_test.cpp
@@ -41,25 +41,25 @@
     EXPECT_FALSE(checkFits(ledger, { 50'000, 1 }, Start));
 }
 
-TEST(EndpointLedgerTest, ConvertsOnceAndReleasesOnce)
+TEST(EndpointLedgerTest, GrantIsStartedAndReleasedOnce)
 {
     EndpointLedger ledger;
     EXPECT_TRUE(addGrant(ledger, grantOf(1), Start));
     EXPECT_FALSE(addGrant(ledger, grantOf(1), Start));
     EXPECT_TRUE(startGrant(ledger, GrantId("1"), Start, Start + Seconds(30)));
     EXPECT_TRUE(startGrant(ledger, GrantId("1"), Start, Start + Seconds(30)));
-    EXPECT_TRUE(sweepExpired(ledger, Start + Seconds(29)).empty());
+    EXPECT_TRUE(releaseExpired(ledger, Start + Seconds(29)).empty());
     EXPECT_TRUE(noteFirstToken(ledger, GrantId("1"), Start));
     EXPECT_FALSE(noteFirstToken(ledger, GrantId("1"), Start));
     EXPECT_TRUE(releaseGrant(ledger, GrantId("1"), Start));
     EXPECT_FALSE(releaseGrant(ledger, GrantId("1"), Start));
     EXPECT_FALSE(startGrant(ledger, GrantId("1"), Start, Start + Seconds(30)));
     EXPECT_EQ(ledger.m_totals, LedgerTotals{});
-    EXPECT_EQ(ledger.m_wholeAhead, Duration::zero());
-    EXPECT_TRUE(ledger.m_chunked.empty());
+    EXPECT_EQ(ledger.m_unchunkedPrefillTime, Duration::zero());
+    EXPECT_TRUE(ledger.m_chunkedGrants.empty());
 }
 
-TEST(EndpointLedgerTest, BacklogBoundsTheWholePrefillsAhead)
+TEST(EndpointLedgerTest, BacklogLimitsUnchunkedPrefills)
 {
     EndpointLedger ledger;
     ledger.m_capacity.m_backlog = Millis(40);
@@ -69,22 +69,22 @@
     EXPECT_FALSE(checkFits(ledger, { 10, 10 }, Start + Millis(10)));
 }
 
-TEST(EndpointLedgerTest, NewcomersPassChunksThatWait)
+TEST(EndpointLedgerTest, UnchunkedPrefillsOvertakeWaitingChunks)
 {
     EndpointLedger ledger;
     ledger.m_capacity.m_chunkedPrefills = 2;
     ledger.m_capacity.m_longPrefills = 0;
     addGrant(ledger, grantOf(1, 100'000), Start);
     addGrant(ledger, grantOf(2, 20'000), Start);
-    EXPECT_EQ(prefillAhead(ledger, Start), Millis(1'200));
-    EXPECT_EQ(blockingAhead(ledger, Start), Millis(50));
-    EXPECT_EQ(blockingAhead(ledger, Start + Millis(30)), Millis(20));
-    EXPECT_EQ(sharedAhead(ledger, Millis(500), Start), Millis(700));
+    EXPECT_EQ(remainingPrefillTime(ledger, Start), Millis(1'200));
+    EXPECT_EQ(unchunkedStartDelay(ledger, Start), Millis(50));
+    EXPECT_EQ(unchunkedStartDelay(ledger, Start + Millis(30)), Millis(20));
+    EXPECT_EQ(chunkedPrefillDelay(ledger, Millis(500), Start), Millis(700));
     EXPECT_EQ(checkFits(ledger, { 20'000, 10, true }, Start), LedgerRefusal::ChunkedPrefill);
     noteChunk(ledger, GrantId("1"), Millis(30), Start + Millis(30));
-    EXPECT_EQ(prefillAhead(ledger, Start + Millis(30)), Millis(230));
+    EXPECT_EQ(remainingPrefillTime(ledger, Start + Millis(30)), Millis(230));
     noteFirstToken(ledger, GrantId("2"), Start + Millis(40));
-    EXPECT_EQ(blockingAhead(ledger, Start + Millis(40)), Millis(30));
+    EXPECT_EQ(unchunkedStartDelay(ledger, Start + Millis(40)), Millis(30));
     EXPECT_FALSE(checkFits(ledger, { 20'000, 10, true }, Start));
 }
 
@@ -92,23 +92,23 @@
 {
     EndpointLedger ledger;
     addGrant(ledger, grantOf(1), Start);
-    EXPECT_TRUE(sweepExpired(ledger, Start + Millis(999)).empty());
-    EXPECT_EQ(sweepExpired(ledger, Start + Seconds(1)).size(), 1u);
+    EXPECT_TRUE(releaseExpired(ledger, Start + Millis(999)).empty());
+    EXPECT_EQ(releaseExpired(ledger, Start + Seconds(1)).size(), 1u);
     EXPECT_EQ(ledger.m_totals, LedgerTotals{});
 }
 
-TEST(EndpointLedgerTest, PrefillAheadRunsDownButNotBelowZero)
+TEST(EndpointLedgerTest, RemainingPrefillTimeDecreasesToZero)
 {
     EndpointLedger ledger;
     addGrant(ledger, grantOf(1), Start);
     addGrant(ledger, grantOf(2), Start + Millis(4));
-    EXPECT_EQ(prefillAhead(ledger, Start + Millis(4)), Millis(16));
+    EXPECT_EQ(remainingPrefillTime(ledger, Start + Millis(4)), Millis(16));
     noteFirstToken(ledger, GrantId("1"), Start + Millis(12));
-    EXPECT_EQ(prefillAhead(ledger, Start + Millis(12)), Millis(10));
-    EXPECT_EQ(prefillAhead(ledger, Start + Seconds(9)), Duration::zero());
+    EXPECT_EQ(remainingPrefillTime(ledger, Start + Millis(12)), Millis(10));
+    EXPECT_EQ(remainingPrefillTime(ledger, Start + Seconds(9)), Duration::zero());
 }
 
-TEST(EndpointLedgerTest, SlotsFollowTheEngine)
+TEST(EndpointLedgerTest, SlotsAdaptToTheEngine)
 {
     EndpointLedger ledger;
     addGrant(ledger, grantOf(1), Start);
@@ -120,7 +120,7 @@
     EXPECT_EQ(ledger.m_capacity.m_slots, 3u);
 }
 
-/// One random step; grants fit, ids are used again, answers come late, twice or never.
+/// One random operation. Grants fit; ids are reused; reports arrive late, twice or never.
 void randomStep(EndpointLedger &ledger, RandomEngine &random, TimePoint now, int &next)
 {
     const GrantId any(std::to_string(random() % (next + 1)));
@@ -148,7 +148,7 @@
         releaseGrant(ledger, any, now);
         return;
     case 6:
-        sweepExpired(ledger, now);
+        releaseExpired(ledger, now);
         return;
     default:
         if (random() % 100 == 0)
@@ -160,21 +160,21 @@
 
 void expectConsistent(const EndpointLedger &ledger)
 {
-    Duration whole{};
+    Duration unchunked{};
     size_t chunked = 0;
     for (const auto &[id, grant] : ledger.m_grants) {
         if (grant.m_phase == GrantPhase::Decode)
             continue;
-        const bool inChunks = grant.m_chunkTime > Duration::zero();
-        chunked += inChunks;
-        whole += inChunks ? Duration::zero() : grant.m_predictedPrefill;
+        const bool isChunked = grant.m_chunkTime > Duration::zero();
+        chunked += isChunked;
+        unchunked += isChunked ? Duration::zero() : grant.m_predictedPrefill;
     }
-    ASSERT_EQ(ledger.m_wholeAhead, whole);
-    ASSERT_EQ(ledger.m_chunked.size(), chunked);
+    ASSERT_EQ(ledger.m_unchunkedPrefillTime, unchunked);
+    ASSERT_EQ(ledger.m_chunkedGrants.size(), chunked);
     ASSERT_EQ(ledger.m_totals, countTotals(ledger));
 }
 
-TEST(EndpointLedgerTest, NoInterleavingLeaksOrGoesBelowZero)
+TEST(EndpointLedgerTest, RandomOperationsKeepTheTotalsConsistent)
 {
     for (uint64_t seed = 1; seed <= 50; ++seed) {
         RandomEngine random(seed);
@@ -190,10 +190,10 @@
             ASSERT_LE(ledger.m_totals.m_grants, 20u);
             ASSERT_LE(ledger.m_totals.m_longPrefills, 3u);
         }
-        sweepExpired(ledger, now + Seconds(10));
+        releaseExpired(ledger, now + Seconds(10));
         EXPECT_EQ(ledger.m_totals, LedgerTotals{}) << seed;
-        EXPECT_EQ(ledger.m_wholeAhead, Duration::zero());
-        EXPECT_TRUE(ledger.m_chunked.empty());
+        EXPECT_EQ(ledger.m_unchunkedPrefillTime, Duration::zero());
+        EXPECT_TRUE(ledger.m_chunkedGrants.empty());
     }
 }
 
