--- a/policy/endpoint_directory.cpp
+++ b/policy/endpoint_directory.cpp
@@ -4,12 +4,13 @@
 
 namespace {
 
-/// The directory of a later position, in which endpoints of @p own may be missing.
-void replace(EndpointDirectory &own, const EndpointDirectory &offered)
+/// Replaces @p own by a directory of a later position. Endpoints that @p offered may have missed
+/// stay as unconfirmed.
+void adoptLater(EndpointDirectory &own, const EndpointDirectory &offered)
 {
     EndpointDirectory joined = offered;
     joined.m_surePosition = own.m_surePosition;
-    // What an earlier process wrote late may stand in a later revision.
+    // A delayed write of an earlier process may appear at a later revision.
     for (auto &[id, endpoint] : joined.m_endpoints) {
         if (isEarlierProcess(own, endpoint))
             endpoint = own.m_endpoints.at(id);
@@ -20,16 +21,17 @@
                 && joined.m_endpoints.emplace(id, endpoint).second)
                 joined.m_doubtful.insert(id);
         }
-        // What is missing from both stays unknown only if this one's own picture was partial.
+        // The result is complete if the own snapshot was, since missing endpoints were kept.
         joined.m_whole = own.m_whole && own.m_position.known();
     }
     own = std::move(joined);
     noteSure(own);
 }
 
-bool dropDoubtful(EndpointDirectory &own, const EndpointDirectory &offered)
+/// Removes unconfirmed endpoints that a complete directory lacks. Returns whether there were any.
+bool dropUnconfirmed(EndpointDirectory &own, const EndpointDirectory &offered)
 {
-    // An older picture may be from before the endpoint came.
+    // An older snapshot may have been taken before the endpoint was registered.
     if (!offered.m_whole || offered.m_position < own.m_surePosition)
         return false;
     const size_t dropped = std::erase_if(own.m_doubtful, [&](const EndpointId &id) {
@@ -67,8 +69,8 @@
 bool joinDirectory(EndpointDirectory &own, const EndpointDirectory &offered)
 {
     if (offered.m_position <= own.m_position)
-        return dropDoubtful(own, offered);
-    replace(own, offered);
+        return dropUnconfirmed(own, offered);
+    adoptLater(own, offered);
     return true;
 }
 
--- a/policy/endpoint_directory.h
+++ b/policy/endpoint_directory.h
@@ -1,4 +1,4 @@
-/// Endpoints as the platform's store lists them.
+/// The directory of endpoints, a copy of the entries in the platform's store.
 #pragma once
 
 #include <memory>
@@ -15,14 +15,14 @@
 namespace stackquay {
 
 struct EndpointRecord {
-    EndpointId m_id; ///< A restarted endpoint may have the same, with a later start.
+    EndpointId m_id; ///< A restarted endpoint may keep its id; m_startedMs is then later.
     ServiceId m_service;
-    std::string m_address; ///< "a.b.c.d:port"; may later belong to another endpoint.
+    std::string m_address; ///< "a.b.c.d:port". May be reused later by another endpoint.
     DataCentreId m_dataCentre;
-    uint32_t m_slots = 1;
+    uint32_t m_slots = 1; ///< Requests that it runs concurrently.
     bool m_draining = false;
-    /// When its process started, Unix time in ms; zero: not told. A later process under the same id
-    /// holds nothing of what an earlier one held.
+    /// Start of its process, Unix time in ms; zero: unknown. A restarted process has none of the
+    /// state (requests, cache) of the earlier one with the same id.
     uint64_t m_startedMs = 0;
 
     bool operator==(const EndpointRecord &) const = default;
@@ -31,35 +31,39 @@
 
 using EndpointMap = std::unordered_map<EndpointId, EndpointRecord>;
 
-/// An immutable picture of all endpoints.
+/// A snapshot of all endpoints.
 struct EndpointDirectory {
-    StorePosition m_position; ///< Of the store, when this was read.
+    StorePosition m_position; ///< Position of the store at which the snapshot was read.
     EndpointMap m_endpoints;
-    /// Of these, the ones that a list after an outage of the store lacked: gone, or soon back.
+    /// Subset of m_endpoints that is unconfirmed: missing from a listing after an outage of the
+    /// store. They are gone, or will be registered again.
     std::unordered_set<EndpointId> m_doubtful;
-    /// Not of these: their entries are there and name no endpoint.
+    /// Ids in the store whose entries cannot be parsed. Not in m_endpoints.
     std::unordered_set<EndpointId> m_unreadable;
-    /// No living endpoint is missing. False for a while after a first list, as there may have been
-    /// an outage before it.
+    /// The snapshot is complete: no live endpoint is missing. False for a while after the first
+    /// listing, as the store may have lost entries in an earlier outage.
     bool m_whole = true;
-    StorePosition m_surePosition; ///< The last one at which nothing was in doubt.
+    StorePosition m_surePosition; ///< Last position at which sure() held.
 
+    /// Whether the snapshot is complete and has no unconfirmed endpoints.
     bool sure() const { return m_whole && m_doubtful.empty(); }
 };
 
-/// Whether @p record is of an earlier process than the one that @p directory knows under its id.
+/// Whether @p directory has a later process under the id of @p record.
 bool isEarlierProcess(const EndpointDirectory &directory, const EndpointRecord &record);
 
-/// Endpoints of which @p now knows a later process than @p before, both under the same id.
+/// Endpoints in both directories whose process in @p now is later; the records of @p now.
 std::vector<EndpointRecord> restartedSince(const EndpointDirectory &before,
                                            const EndpointDirectory &now);
 
-/// To be called with each new position: remembers it if nothing is in doubt at it.
+/// Records the current position as m_surePosition if sure(). Call after each change of the
+/// position.
 void noteSure(EndpointDirectory &directory);
 
-/// Takes what @p offered, a peer's directory, tells better than @p own: all of it if it is of a
-/// later position; else only which doubtful endpoints are gone, if the peer is sure. Returns
-/// whether anything changed.
+/// Merges @p offered, a peer's directory, into @p own. One of a later position replaces @p own,
+/// except for entries that it lacks or that are of earlier processes. Otherwise it only removes
+/// unconfirmed endpoints that it lacks, provided that it is complete and not older than
+/// own.m_surePosition. Returns whether @p own changed.
 bool joinDirectory(EndpointDirectory &own, const EndpointDirectory &offered);
 
 using EndpointDirectoryPtr = std::shared_ptr<const EndpointDirectory>;
--- a/policy/freshness.cpp
+++ b/policy/freshness.cpp
@@ -26,9 +26,9 @@
 Duration delayOf(ArrivalClock &clock, TimePoint sent, TimePoint received)
 {
     const Duration offset = received - sent;
-    clock.m_leastOffset = clock.m_started ? std::min(clock.m_leastOffset, offset) : offset;
+    clock.m_minOffset = clock.m_started ? std::min(clock.m_minOffset, offset) : offset;
     clock.m_started = true;
-    return offset - clock.m_leastOffset;
+    return offset - clock.m_minOffset;
 }
 
 FreshnessProof proofFromAge(uint64_t version, uint64_t era, Duration age, Duration callTime,
--- a/policy/freshness.h
+++ b/policy/freshness.h
@@ -1,8 +1,8 @@
-/// How long a VM may rely on the newest configuration it knows.
+/// Bounds the staleness of a VM's copy of the configuration.
 ///
-/// A proof says: at this moment of the steady clock, this version was the newest in the store. The
-/// moment is that at which the linearizable read began. Between VMs a proof travels as an age, to
-/// which the receiver adds the time of the whole call, so that no clocks are compared.
+/// A proof states that at some time on this VM's steady clock a version was the newest one in the
+/// store: the time at which a linearizable read began. Proofs are sent between VMs as an age. The
+/// receiver adds the duration of the whole call, so that no clocks are compared.
 #pragma once
 
 #include <cstdint>
@@ -13,36 +13,41 @@
 
 struct FreshnessProof {
     uint64_t m_version = 0;
-    TimePoint m_provedAt{};
-    uint64_t m_era = 0; ///< Of the store that said so.
+    TimePoint m_provedAt{}; ///< When the version was the newest.
+    uint64_t m_era = 0; ///< As StorePosition::m_era.
 
+    /// Whether there is a proof.
     bool known() const { return m_version != 0; }
 };
 
-/// What two proofs say together: the higher version and the later moment. What was written before
-/// the moment of a lower version's proof is in every higher version too; but not if a later era
-/// said so, whose store may have lost versions that took keys away.
+/// Combines two proofs: the higher version and the later time. Whatever was written before the time
+/// of the lower version's proof is part of the higher version too. This does not hold if the lower
+/// version was proved in a later era, since the restored store may have lost the higher version,
+/// which may have revoked keys; the proof of the higher version is then returned alone.
 FreshnessProof joinProofs(const FreshnessProof &left, const FreshnessProof &right);
 
-/// The proof that holds for @p version, which was seen but not proved itself: that of a lower
-/// version, if there is one.
+/// A proof for @p version, which was read but not proved itself, from @p proof of the same or a
+/// lower version. Unknown if there is none.
 FreshnessProof proofFor(uint64_t version, const FreshnessProof &proof);
 
-/// Tells how long messages of one process were on their way, though its clock starts elsewhere: the
-/// quickest one so far is taken as not delayed. Messages that waited for a frozen VM are seen so.
+/// Estimates the delay of messages from one process without synchronized clocks, relative to the
+/// fastest message so far. Detects messages that waited in a buffer while this VM was frozen.
 struct ArrivalClock {
-    bool m_started = false;
-    Duration m_leastOffset{}; ///< Between both clocks, plus the travel of the quickest.
+    bool m_started = false; ///< A message has been seen.
+    Duration m_minOffset{}; ///< Offset of the clocks plus the travel time of the fastest message.
 };
 
-/// How much longer than the quickest a message was on its way.
+/// Delay of a message beyond that of the fastest one. @p sent is on the sender's clock, @p received
+/// on the receiver's.
 Duration delayOf(ArrivalClock &clock, TimePoint sent, TimePoint received);
 
-/// The proof as a peer passes it on, received after @p callTime.
+/// The proof from a peer's answer. @p age: age of the proof when the peer answered; @p callTime:
+/// duration of the call that ended at @p now.
 FreshnessProof proofFromAge(uint64_t version, uint64_t era, Duration age, Duration callTime,
                             TimePoint now);
 
-/// Whether requests that need a key may still be admitted under @p version.
+/// Whether @p version was proved at most @p bound ago, so that requests that need a key may still
+/// be admitted with it.
 bool freshEnough(const FreshnessProof &proof, uint64_t version, Duration bound, TimePoint now);
 
 } // namespace stackquay
--- a/policy/store_position.h
+++ b/policy/store_position.h
@@ -1,7 +1,7 @@
-/// A place in the history of the platform's store.
+/// A position in the history of the platform's store.
 ///
-/// The store numbers its changes. When it comes back from a copy it gives numbers out again, and
-/// says so by a higher era: a number alone names no place.
+/// The store numbers its changes by revisions. After a restore from a backup it assigns revisions
+/// again, under a higher era. A revision alone is therefore ambiguous.
 #pragma once
 
 #include <compare>
@@ -12,8 +12,8 @@
 namespace stackquay {
 
 struct StorePosition {
-    uint64_t m_era = 0; ///< Zero: the store tells none.
-    uint64_t m_revision = 0; ///< Zero: no place.
+    uint64_t m_era = 0; ///< Raised by each restore. Zero: the store reports none.
+    uint64_t m_revision = 0; ///< Zero: unknown position.
 
     auto operator<=>(const StorePosition &) const = default;
     bool known() const { return m_revision != 0; }
--- a/tests/policy/endpoint_directory_test.cpp
+++ b/tests/policy/endpoint_directory_test.cpp
@@ -33,20 +33,20 @@
     EXPECT_FALSE(has(own, "a"));
 }
 
-// A VM that was cut off lists, and keeps what is missing for a while: the store may have lost it.
-// Peers that never lost the store know better.
-TEST(EndpointDirectoryTest, SurePeerEndsDoubts)
+// After an outage, a VM keeps endpoints that are missing from the listing as unconfirmed, since the
+// store may have lost them. The complete directory of a peer without an outage settles it.
+TEST(EndpointDirectoryTest, CompletePeerSettlesUnconfirmedEndpoints)
 {
     EndpointDirectory own = directory(20, { "a", "b" }, { "a" });
     own.m_surePosition = { 1, 10 };
-    EXPECT_FALSE(joinDirectory(own, directory(9, { "b" }))); // From before "a" came, perhaps.
+    EXPECT_FALSE(joinDirectory(own, directory(9, { "b" }))); // May predate "a".
     EXPECT_TRUE(joinDirectory(own, directory(15, { "b" })));
     EXPECT_FALSE(has(own, "a"));
     EXPECT_TRUE(own.sure());
     EXPECT_EQ(own.m_surePosition.m_revision, 20u);
 }
 
-TEST(EndpointDirectoryTest, PeerThatMayMissEndpointsEndsNoDoubt)
+TEST(EndpointDirectoryTest, IncompletePeerLeavesEndpointsUnconfirmed)
 {
     EndpointDirectory own = directory(20, { "a", "b" }, { "a" });
     EndpointDirectory started = directory(20, { "b" });
@@ -59,15 +59,15 @@
     EXPECT_FALSE(own.sure());
 }
 
-TEST(EndpointDirectoryTest, DoubtsTravelWithTheDirectory)
+TEST(EndpointDirectoryTest, MergeTakesOverUnconfirmedEndpoints)
 {
     EndpointDirectory own = directory(5, { "a", "b" });
     EXPECT_TRUE(joinDirectory(own, directory(20, { "a", "b" }, { "a" })));
     EXPECT_FALSE(own.sure());
-    EXPECT_EQ(own.m_surePosition.m_revision, 0u); // It was never told to be sure of the first.
+    EXPECT_EQ(own.m_surePosition.m_revision, 0u); // Not recorded for revision 5.
 }
 
-TEST(EndpointDirectoryTest, FirstPictureThatMayMissEndpointsIsNotWhole)
+TEST(EndpointDirectoryTest, IncompleteFirstSnapshotStaysIncomplete)
 {
     EndpointDirectory own;
     EndpointDirectory started = directory(3, { "a" });
@@ -76,13 +76,13 @@
     EXPECT_FALSE(own.m_whole);
 }
 
-// A store that came back from a copy gives revisions out again.
+// A store that was restored from a backup assigns revisions again.
 TEST(EndpointDirectoryTest, LowerRevisionOfALaterEraReplaces)
 {
     EndpointDirectory own = directory(1'000, { "a", "b" });
-    EndpointDirectory returned = directory(900, { "b", "c" });
-    returned.m_position.m_era = 2;
-    EXPECT_TRUE(joinDirectory(own, returned));
+    EndpointDirectory restored = directory(900, { "b", "c" });
+    restored.m_position.m_era = 2;
+    EXPECT_TRUE(joinDirectory(own, restored));
     EXPECT_TRUE(has(own, "c"));
     EXPECT_FALSE(has(own, "a"));
     EXPECT_FALSE(joinDirectory(own, directory(1'001, { "a" })));
@@ -97,8 +97,9 @@
     return record;
 }
 
-// A VM that started a moment ago may miss endpoints, but an entry that it cannot read is there.
-TEST(EndpointDirectoryTest, EntryThatCannotBeReadIsGoneAlsoWherePeersMayMissEndpoints)
+// A recently started VM may miss endpoints, but an unreadable entry exists in the store: its
+// endpoint is removed.
+TEST(EndpointDirectoryTest, UnreadableEntryInAnIncompleteDirectoryRemovesTheEndpoint)
 {
     EndpointDirectory own = directory(5, { "a", "b", "c" });
     EndpointDirectory offered = directory(6, { "a" });
@@ -109,8 +110,8 @@
     EXPECT_TRUE(has(own, "c"));
 }
 
-// A late write of a process that is gone may stand in a later revision of the store.
-TEST(EndpointDirectoryTest, EarlierProcessUnderTheSameIdNeverComesBack)
+// A delayed write of an exited process may have a later revision than the record of its successor.
+TEST(EndpointDirectoryTest, EarlierProcessUnderTheSameIdIsIgnored)
 {
     EndpointDirectory own = directory(5, { "a" });
     own.m_endpoints[EndpointId("a")] = process("a", 2'000);
@@ -125,7 +126,7 @@
     EXPECT_EQ(own.m_endpoints.at(EndpointId("a")).m_startedMs, 3'000u);
 }
 
-TEST(EndpointDirectoryTest, TellsWhichEndpointsStartedAgain)
+TEST(EndpointDirectoryTest, FindsRestartedEndpoints)
 {
     EndpointDirectory before = directory(5, { "a", "b", "c" });
     EndpointDirectory now = directory(6, { "a", "b" });
--- a/tests/policy/freshness_test.cpp
+++ b/tests/policy/freshness_test.cpp
@@ -7,7 +7,7 @@
 
 const TimePoint Start = TimePoint{} + Seconds(1'000);
 
-TEST(FreshnessTest, ProofHoldsForItsVersionAndBound)
+TEST(FreshnessTest, ProofIsValidForItsVersionWithinTheBound)
 {
     const FreshnessProof proof{ 7, Start };
     EXPECT_TRUE(freshEnough(proof, 7, Seconds(4), Start + Seconds(4)));
@@ -16,8 +16,8 @@
     EXPECT_FALSE(freshEnough({}, 0, Seconds(4), Start));
 }
 
-// What was acknowledged before the moment at which 7 was the newest is in 8 too.
-TEST(FreshnessTest, ProofOfALowerVersionHoldsForAHigherOne)
+// Whatever was acknowledged before the time at which 7 was the newest version is part of 8 too.
+TEST(FreshnessTest, ProofOfALowerVersionExtendsAHigherOne)
 {
     const FreshnessProof older{ 7, Start + Seconds(9) };
     const FreshnessProof newer{ 8, Start };
@@ -31,13 +31,13 @@
     EXPECT_FALSE(proofFor(8, {}).known());
 }
 
-// The store came back from a copy that lacks 8: that 7 is its newest says nothing of 8.
-TEST(FreshnessTest, ProofOfALaterEraHoldsForNoVersionThatItLost)
+// The store was restored from a backup without version 8: a proof of 7 is no evidence for 8.
+TEST(FreshnessTest, ProofOfALaterEraDoesNotExtendALostVersion)
 {
     const FreshnessProof lost{ 8, Start, 1 };
-    const FreshnessProof returned{ 7, Start + Seconds(9), 2 };
+    const FreshnessProof restored{ 7, Start + Seconds(9), 2 };
     for (const FreshnessProof &joined :
-         { joinProofs(lost, returned), joinProofs(returned, lost) }) {
+         { joinProofs(lost, restored), joinProofs(restored, lost) }) {
         EXPECT_EQ(joined.m_version, 8u);
         EXPECT_EQ(joined.m_provedAt, Start);
     }
@@ -45,14 +45,14 @@
     EXPECT_EQ(joinProofs(lost, writtenAgain).m_provedAt, Start + Seconds(12));
 }
 
-TEST(FreshnessTest, AgeGrowsByTheWholeCall)
+TEST(FreshnessTest, AgeIncludesTheWholeCall)
 {
     const FreshnessProof proof = proofFromAge(3, 1, Millis(400), Millis(50), Start);
     EXPECT_EQ(proof.m_provedAt, Start - Millis(450));
 }
 
-// A beat that lay in the buffer of a VM that stood still for four seconds is four seconds older.
-TEST(FreshnessTest, MessagesThatWaitedAreKnownByTheQuickestOne)
+// A heartbeat waited in the receive buffer of a VM that was frozen for four seconds.
+TEST(FreshnessTest, DelayIsRelativeToTheFastestMessage)
 {
     const TimePoint theirs = TimePoint{} + Seconds(77'000);
     ArrivalClock clock;
