--- a/policy/watch_duty.h
+++ b/policy/watch_duty.h
@@ -1,8 +1,8 @@
-/// Which VMs follow the platform's store for all: one a data centre, so that calls to the store
-/// grow with data centres and not with VMs. The others hear of changes from them.
+/// Selects the VMs that watch the platform's store: one per data centre, so that the load on the
+/// store grows with the number of data centres and not of VMs. The other VMs get changes from them.
 ///
-/// Duty is advice: two VMs that both take it only make more calls, and one that hears nothing for
-/// long asks the store itself.
+/// Correctness does not depend on the selection: two watchers in a data centre only cause more
+/// calls, and a VM without updates for a long time reads the store itself.
 #pragma once
 
 #include <vector>
@@ -14,13 +14,14 @@
 struct DutyCandidate {
     VmId m_vm;
     DataCentreId m_dataCentre;
-    bool m_able = true; ///< Is heard, and reaches the store, as far as is known.
-    bool m_holds = false; ///< Has the duty, and says so.
+    bool m_eligible = true; ///< Sends heartbeats and can reach the store, as far as is known.
+    bool m_isWatcher = false; ///< Watches the store now, as reported by itself.
 };
 
-/// Whether @p self is the one of its data centre's able VMs, or of all of them if none is able: the
-/// one that has the duty, then the first by name. A holder that is able keeps it, whoever comes:
-/// each handover lists all objects anew. @p peers are alive.
+/// Whether @p self is to watch the store for its data centre. The order of preference is: eligible
+/// VMs, the present watcher, the first id in alphabetical order. An eligible watcher is never
+/// replaced by a new VM, because each handover lists all objects again. @p peers: the other live
+/// VMs, of all data centres.
 bool hasWatchDuty(const DutyCandidate &self, const std::vector<DutyCandidate> &peers);
 
 } // namespace stackquay
--- a/tests/policy/watch_duty_test.cpp
+++ b/tests/policy/watch_duty_test.cpp
@@ -5,53 +5,53 @@
 namespace stackquay {
 namespace {
 
-DutyCandidate vm(const std::string &name, const std::string &dataCentre = "a", bool able = true)
+DutyCandidate vm(const std::string &name, const std::string &dataCentre = "a", bool eligible = true)
 {
-    return { VmId(name), DataCentreId(dataCentre), able };
+    return { VmId(name), DataCentreId(dataCentre), eligible };
 }
 
-TEST(WatchDutyTest, FirstByNameOfItsDataCentre)
+TEST(WatchDutyTest, LowestIdOfTheDataCentreWatches)
 {
     EXPECT_TRUE(hasWatchDuty(vm("1"), { vm("2"), vm("3") }));
     EXPECT_FALSE(hasWatchDuty(vm("2"), { vm("1"), vm("3") }));
     EXPECT_TRUE(hasWatchDuty(vm("2", "b"), { vm("1"), vm("3") }));
 }
 
-TEST(WatchDutyTest, VmAloneHasIt)
+TEST(WatchDutyTest, SingleVmWatches)
 {
     EXPECT_TRUE(hasWatchDuty(vm("9"), {}));
 }
 
-TEST(WatchDutyTest, PassesOverThoseThatAreNotAble)
+TEST(WatchDutyTest, SkipsIneligibleVms)
 {
     EXPECT_TRUE(hasWatchDuty(vm("2"), { vm("1", "a", false), vm("3") }));
     EXPECT_FALSE(hasWatchDuty(vm("1", "a", false), { vm("2"), vm("3") }));
 }
 
-TEST(WatchDutyTest, IfNobodyIsAbleTheFirstGoesOnTrying)
+TEST(WatchDutyTest, LowestIdWatchesIfNoVmIsEligible)
 {
     EXPECT_TRUE(hasWatchDuty(vm("1", "a", false), { vm("2", "a", false) }));
     EXPECT_FALSE(hasWatchDuty(vm("2", "a", false), { vm("1", "a", false) }));
 }
 
-// A VM that starts, whatever its name, does not take the duty from one that does it.
-TEST(WatchDutyTest, AbleHolderKeepsIt)
+// A new VM does not replace an eligible watcher, even with a lower id.
+TEST(WatchDutyTest, EligibleWatcherStays)
 {
-    DutyCandidate holder = vm("5");
-    holder.m_holds = true;
-    EXPECT_FALSE(hasWatchDuty(vm("1"), { holder, vm("2") }));
-    EXPECT_TRUE(hasWatchDuty(holder, { vm("1"), vm("2") }));
-    holder.m_able = false;
-    EXPECT_TRUE(hasWatchDuty(vm("1"), { holder, vm("2") }));
-    EXPECT_FALSE(hasWatchDuty(holder, { vm("1"), vm("2") }));
+    DutyCandidate watcher = vm("5");
+    watcher.m_isWatcher = true;
+    EXPECT_FALSE(hasWatchDuty(vm("1"), { watcher, vm("2") }));
+    EXPECT_TRUE(hasWatchDuty(watcher, { vm("1"), vm("2") }));
+    watcher.m_eligible = false;
+    EXPECT_TRUE(hasWatchDuty(vm("1"), { watcher, vm("2") }));
+    EXPECT_FALSE(hasWatchDuty(watcher, { vm("1"), vm("2") }));
 }
 
-// After a cut two may have it.
-TEST(WatchDutyTest, OfTwoHoldersTheFirstByNameKeepsIt)
+// After a network partition there may be two watchers.
+TEST(WatchDutyTest, OfTwoWatchersTheLowestIdStays)
 {
     DutyCandidate one = vm("5");
     DutyCandidate other = vm("7");
-    one.m_holds = other.m_holds = true;
+    one.m_isWatcher = other.m_isWatcher = true;
     EXPECT_TRUE(hasWatchDuty(one, { vm("1"), other }));
     EXPECT_FALSE(hasWatchDuty(other, { vm("1"), one }));
 }
