--- a/policy/outcome.h
+++ b/policy/outcome.h
@@ -1,4 +1,5 @@
-/// What became of a request, when "not run" may be said, and how failures look to callers.
+/// Outcomes of requests, when a request may be reported as "not run", and errors as callers get
+/// them.
 #pragma once
 
 #include <cstddef>
@@ -10,35 +11,34 @@
 
 namespace stackquay {
 
-/// What the caller is told at the end; exactly one of these.
+/// The outcome reported to the caller.
 enum class Outcome {
-    Complete, ///< The whole answer was passed on.
+    Complete, ///< The whole answer was delivered.
     FailedMayHaveRun, ///< Some endpoint may have executed all or part of it.
     RefusedNotRun, ///< No endpoint executed any of it, and none will.
 };
 
-/// The most telling thing that an endpoint said about one attempt.
+/// The strongest evidence from an endpoint about one attempt.
 enum class EndpointReply {
-    Nothing, ///< No answer, or one that proves nothing (an unexplained 500, a cut connection).
-    NotRun, ///< The endpoint says that it did not run the attempt and will not.
-    Partial, ///< Output of the attempt came, but not its end.
-    Whole, ///< The final frame or the whole answer came.
+    Nothing, ///< No answer, or an inconclusive one (an unexplained 500, a closed connection).
+    NotRun, ///< The endpoint stated that it did not run the attempt and will not.
+    Partial, ///< Output was received, but not its end.
+    Whole, ///< The final frame or the whole answer was received.
 };
 
-/// What is known of one attempt to run a request at an endpoint.
+/// Facts about one attempt to run a request on an endpoint.
 struct AttemptFacts {
-    size_t m_bytesSent = 0; ///< Bytes handed to the operating system, received or not.
+    size_t m_bytesSent = 0; ///< Bytes written to the socket, whether or not they arrived.
     EndpointReply m_reply = EndpointReply::Nothing;
-    /// The reply belongs to this attempt for certain: its id was echoed, or the connection carried
-    /// no earlier attempt. A reply that may be another's proves nothing.
+    /// The reply certainly belongs to this attempt: it echoed the attempt's id, or the connection
+    /// carried no earlier attempt. Otherwise the reply is ignored.
     bool m_replyIsOurs = false;
 };
 
-/// The outcome of a single attempt.
 Outcome attemptOutcome(const AttemptFacts &attempt);
 
-/// The outcome of a request from all its attempts: complete if one is; "not run" only if each of
-/// them did not run. Without attempts nothing was sent, so it did not run.
+/// The outcome of a request: Complete if one of its attempts is, RefusedNotRun only if none of them
+/// was run. Without any attempt, nothing was sent: RefusedNotRun.
 Outcome requestOutcome(std::span<const AttemptFacts> attempts);
 
 /// Value of the header Stackquay-Outcome: "not-run" or "may-have-run"; "complete" only in logs.
@@ -51,48 +51,48 @@
     PermissionDenied,
     ModelNotFound,
     ServiceNotFound,
-    PromptTooLong, ///< Longer than any permitted span of engines holds.
+    PromptTooLong, ///< Exceeds the memory of every permitted set of engines.
     BodyTooLarge,
-    DuplicateInProgress, ///< Its idempotency key is claimed by a call that has not ended.
-    OutcomeUnknown, ///< Its idempotency key belongs to a call whose outcome nobody knows.
-    RateLimited, ///< The customer's tokens a second.
-    ConcurrencyLimited, ///< The customer's requests in progress.
+    DuplicateInProgress, ///< A call with the same idempotency key is in progress.
+    OutcomeUnknown, ///< The outcome of an earlier call with the same idempotency key is unknown.
+    RateLimited, ///< The customer's limit of tokens per second.
+    ConcurrencyLimited, ///< The customer's limit of requests in progress.
     QueueFull,
-    DisplacedFromQueue, ///< Gave way to a higher priority or to another customer's fair share.
-    DeadlineUnmeetable, ///< Could not finish in time, so it was not begun.
-    NoCapacity, ///< No endpoint can take it now.
+    DisplacedFromQueue, ///< Removed in favour of a higher priority or another fair share.
+    DeadlineUnmeetable, ///< Not started, as it could not finish before its deadline.
+    NoCapacity, ///< No endpoint can accept it now.
     ShuttingDown,
-    StoreUnavailable, ///< Needs a claim in the store, which cannot be reached.
+    StoreUnavailable, ///< Its idempotency key has to be claimed in the store, which is unreachable.
     EndpointFailed,
-    AnswerCut, ///< The answer broke off and could not be resumed.
+    AnswerCut, ///< The answer was interrupted and could not be resumed.
     DeadlineExceeded,
     CallerCancelled,
     Internal,
     Count, ///< Number of errors; not an error.
 };
 
-/// How one error looks over HTTP.
+/// HTTP representation of an error.
 struct RequestErrorInfo {
     unsigned m_status = 500;
     std::string_view m_type; ///< "error.type" of the JSON body.
     std::string_view m_code; ///< "error.code" of the JSON body.
-    bool m_sendRetryAfter = false; ///< Asking again later makes sense.
+    bool m_sendRetryAfter = false; ///< A retry may succeed.
 };
 
 const RequestErrorInfo &requestErrorInfo(RequestError error);
 
-/// The nearest error for an Error of one of our own calls.
+/// The request error that corresponds to an error code of an internal call.
 RequestError requestErrorFrom(ErrorCode code);
 
-/// A failure as it goes to the caller.
+/// A failure as reported to the caller.
 struct Refusal {
     RequestError m_error = RequestError::Internal;
     Outcome m_outcome = Outcome::RefusedNotRun;
-    std::string m_message; ///< Names the limit or reason, for people.
-    Duration m_retryAfter{}; ///< When to ask again; zero: no advice.
+    std::string m_message; ///< The limit or reason, in readable form.
+    Duration m_retryAfter{}; ///< Suggested delay before a retry; zero: none.
 };
 
-/// Value of the Retry-After header in whole seconds, rounded up; zero: send no such header.
+/// Value of the Retry-After header in whole seconds, rounded up; zero: omit the header.
 Seconds retryAfterHeader(const Refusal &refusal);
 
 /// The JSON body of the answer:
--- a/tests/policy/outcome_test.cpp
+++ b/tests/policy/outcome_test.cpp
@@ -13,7 +13,7 @@
                                                       EndpointReply::Partial,
                                                       EndpointReply::Whole };
 
-TEST(Outcome, NotRunOnlyIfNothingSentOrTheEndpointSaysSo)
+TEST(Outcome, NotRunOnlyIfNothingWasSentOrTheEndpointSaysSo)
 {
     for (const size_t bytes : { size_t{ 0 }, size_t{ 1 }, size_t{ 100'000 } }) {
         for (const EndpointReply reply : AllReplies) {
@@ -28,18 +28,18 @@
     }
 }
 
-TEST(Outcome, OneAttemptThatMayHaveRunSpoilsNotRun)
+TEST(Outcome, NotRunRequiresThatNoAttemptMayHaveRun)
 {
     const AttemptFacts refused{ 10, EndpointReply::NotRun, true };
-    const AttemptFacts cut{ 10, EndpointReply::Nothing, false };
-    const AttemptFacts whole{ 10, EndpointReply::Whole, true };
+    const AttemptFacts inconclusive{ 10, EndpointReply::Nothing, false };
+    const AttemptFacts complete{ 10, EndpointReply::Whole, true };
     EXPECT_EQ(requestOutcome({}), Outcome::RefusedNotRun);
     EXPECT_EQ(requestOutcome(std::array{ refused, refused }), Outcome::RefusedNotRun);
-    EXPECT_EQ(requestOutcome(std::array{ cut, refused }), Outcome::FailedMayHaveRun);
-    EXPECT_EQ(requestOutcome(std::array{ cut, whole }), Outcome::Complete);
+    EXPECT_EQ(requestOutcome(std::array{ inconclusive, refused }), Outcome::FailedMayHaveRun);
+    EXPECT_EQ(requestOutcome(std::array{ inconclusive, complete }), Outcome::Complete);
 }
 
-TEST(Outcome, EachErrorHasItsOwnCodeAndAnErrorStatus)
+TEST(Outcome, ErrorsHaveUniqueCodesAndAnErrorStatus)
 {
     std::set<std::string_view> codes;
     for (size_t i = 0; i < static_cast<size_t>(RequestError::Count); ++i) {
@@ -55,7 +55,7 @@
     EXPECT_EQ(requestErrorInfo(RequestError::Internal).m_code, "internal_error");
 }
 
-TEST(Outcome, BodyAndRetryAfterAgree)
+TEST(Outcome, BodyAndRetryAfterHeaderAgree)
 {
     Refusal refusal{ RequestError::QueueFull, Outcome::RefusedNotRun, "full \xff", Millis(1'200) };
     EXPECT_EQ(retryAfterHeader(refusal), Seconds(2));
--- a/tests/policy/shard_test.cpp
+++ b/tests/policy/shard_test.cpp
@@ -26,7 +26,7 @@
     EXPECT_LT(moved, 140);
 }
 
-TEST(ShardTest, OrderFollowsTheSizesAndSkipsEmptyShards)
+TEST(ShardTest, OrderIsWeightedBySizeAndOmitsEmptyShards)
 {
     const std::vector<uint32_t> sizes = { 10, 0, 30, 20 };
     std::array<int, 4> first{};
@@ -41,7 +41,7 @@
     EXPECT_NEAR(first[3], 2'000, 150);
 }
 
-TEST(ShardTest, WithoutAKeyTheSpreadDecides)
+TEST(ShardTest, WithoutAKeyTheOrderDependsOnTheSpread)
 {
     const std::vector<uint32_t> sizes = { 10, 10 };
     EXPECT_EQ(shardOrder(7, 1, sizes), shardOrder(7, 2, sizes));
