--- a/policy/prefix.cpp
+++ b/policy/prefix.cpp
@@ -66,7 +66,8 @@
     uint64_t hash = 0;
     const auto [end, error] = std::from_chars(name.data(), name.data() + name.size(), hash, 16);
     if (name.empty() || error != std::errc() || end != name.data() + name.size())
-        return makeError(ErrorCode::ProtocolError, fmt::format("bad block name '{}'", name));
+        return makeError(ErrorCode::ProtocolError,
+                         fmt::format("block name '{}' is not a 64-bit hexadecimal number", name));
     return hash;
 }
 
@@ -91,8 +92,8 @@
     const auto isCached = [&](const PrefixBlock &block) {
         return index.m_entries.contains(block.m_hash);
     };
-    // What is cached of a prompt is a prefix of it, and mostly a short one: look at ever larger
-    // steps from the start, then search the last step by halves.
+    // The cached part of a prompt is a prefix, and usually a short one: exponential search from the
+    // start, then binary search within the last step.
     size_t step = 1;
     while (step <= blocks.size() && isCached(blocks[step - 1]))
         step *= 2;
@@ -106,13 +107,13 @@
 {
     const auto known = index.m_entries.find(hash);
     if (known != index.m_entries.end()) {
-        index.m_recent.splice(index.m_recent.begin(), index.m_recent, known->second);
+        index.m_lruOrder.splice(index.m_lruOrder.begin(), index.m_lruOrder, known->second);
         return;
     }
-    if (index.m_entries.size() >= index.m_capacity && !index.m_recent.empty())
-        eraseBlock(index, index.m_recent.back());
-    index.m_recent.push_front(hash);
-    index.m_entries.emplace(hash, index.m_recent.begin());
+    if (index.m_entries.size() >= index.m_capacity && !index.m_lruOrder.empty())
+        eraseBlock(index, index.m_lruOrder.back());
+    index.m_lruOrder.push_front(hash);
+    index.m_entries.emplace(hash, index.m_lruOrder.begin());
 }
 
 void eraseBlock(PrefixIndex &index, uint64_t hash)
@@ -120,18 +121,18 @@
     const auto known = index.m_entries.find(hash);
     if (known == index.m_entries.end())
         return;
-    index.m_recent.erase(known->second);
+    index.m_lruOrder.erase(known->second);
     index.m_entries.erase(known);
 }
 
 void notePrompt(PrefixIndex &index, const PrefixBlocks &blocks)
 {
-    // Backwards, so that the start of a prompt outlives its end.
+    // In reverse order, so that the start of a prompt is evicted after its end.
     for (auto block = blocks.rbegin(); block != blocks.rend(); ++block)
         insertBlock(index, block->m_hash);
 }
 
-void noteCached(PrefixIndex &index, uint64_t expected, uint64_t reported)
+void adjustCapacity(PrefixIndex &index, uint64_t expected, uint64_t reported)
 {
     const size_t size = index.m_entries.size();
     if (reported >= expected) {
@@ -142,13 +143,13 @@
     const size_t shrunk = std::min(size, index.m_capacity) / 64 * 63;
     index.m_capacity = std::max(MinIndexCapacity, shrunk);
     while (index.m_entries.size() > index.m_capacity)
-        eraseBlock(index, index.m_recent.back());
+        eraseBlock(index, index.m_lruOrder.back());
 }
 
 void clearIndex(PrefixIndex &index)
 {
     index.m_entries.clear();
-    index.m_recent.clear();
+    index.m_lruOrder.clear();
 }
 
 } // namespace stackquay
--- a/policy/steward.cpp
+++ b/policy/steward.cpp
@@ -13,8 +13,8 @@
 using detail::StewardEstimate;
 using detail::StewardPlacement;
 
-/// Whether any endpoint has room at all: false saves the look at every waiting request.
-bool anyOpen(const Steward &steward, TimePoint now)
+/// Whether any endpoint has free capacity. If not, the waiting requests need not be examined.
+bool anyEndpointHasRoom(const Steward &steward, TimePoint now)
 {
     return std::any_of(steward.m_endpoints.begin(), steward.m_endpoints.end(), [&](const auto &e) {
         return detail::isUsable(e.second, now) && !checkFits(e.second.m_ledger, {}, now);
@@ -36,11 +36,11 @@
     return { error, Outcome::RefusedNotRun, std::move(message), retryAfter };
 }
 
-/// Keeps the endpoint with the most free memory for a request that has long waited for memory, as
-/// smaller ones would take it again and again.
+/// Reserves the endpoint with the most free memory for a request that has waited long for memory.
+/// Otherwise smaller requests could starve it.
 void reserveMemory(Steward &steward, const GrantRequest &request, TimePoint now)
 {
-    if (steward.m_reservation || now - request.m_arrived < steward.m_settings.m_reserveAfter)
+    if (steward.m_reservation || now - request.m_arrived < steward.m_settings.m_reserveMemoryAfter)
         return;
     const auto candidates = detail::candidatesFor(steward, request, now);
     const bool isLong = isLongPrefill(lengthClass(request.m_need.m_promptTokens));
@@ -58,8 +58,8 @@
     }
 }
 
-/// Forgets a request that waited and has left the queue.
-GrantRequest takeWaiting(Steward &steward, const RequestId &id)
+/// Removes the state of a request that has left the queue, and returns the request.
+GrantRequest removeWaiting(Steward &steward, const RequestId &id)
 {
     auto waiting = steward.m_waiting.extract(id).mapped();
     if (steward.m_reservation && steward.m_reservation->m_request == id)
@@ -70,7 +70,7 @@
     return std::move(waiting.m_request);
 }
 
-/// Kinds of prefill that no endpoint has room for now: others of the kind need not be tried.
+/// A kind of prefill that fits on no endpoint now. Other requests of this kind are skipped.
 struct FullKind {
     ModelId m_model;
     PrefillKind m_kind;
@@ -78,21 +78,21 @@
     bool operator==(const FullKind &) const = default;
 };
 
-/// Whether a refusal holds for all of its kind, whatever their size.
-bool holdsForKind(LedgerRefusal refusal)
+/// Whether a refusal applies to all requests of the same kind, regardless of their size.
+bool appliesToKind(LedgerRefusal refusal)
 {
     return refusal != LedgerRefusal::Memory && refusal != LedgerRefusal::TooLong;
 }
 
-/// Grants to waiting requests in order, until none of them fits.
+/// Grants waiting requests in queue order, until none of them fits.
 void grantWaiting(Steward &steward, TimePoint now, std::vector<GrantDecision> &decisions)
 {
     std::vector<FullKind> full;
-    while (!steward.m_queue.empty() && anyOpen(steward, now)) {
+    while (!steward.m_queue.empty() && anyEndpointHasRoom(steward, now)) {
         std::optional<StewardPlacement> placement;
         uint32_t visited = 0;
         const auto mayServe = [&](const WaitingRequest &entry) {
-            if (++visited > steward.m_settings.m_maxVisited)
+            if (++visited > steward.m_settings.m_maxWaitingVisited)
                 return false;
             const auto &waiting = steward.m_waiting.at(entry.m_id);
             const auto &request = waiting.m_request;
@@ -108,21 +108,21 @@
             }
             if (outcome.error() == LedgerRefusal::Memory)
                 reserveMemory(steward, request, now);
-            if (holdsForKind(outcome.error()) && request.m_excluded.empty())
+            if (appliesToKind(outcome.error()) && request.m_excluded.empty())
                 full.push_back(kind);
             return false;
         };
         const auto served = steward.m_queue.popIf(mayServe);
         if (!served)
             return;
-        const auto request = takeWaiting(steward, served->m_id);
+        const auto request = removeWaiting(steward, served->m_id);
         decisions.push_back(
             detail::grantChoice(steward, request, placement->m_endpoint, placement->m_choice, now));
     }
 }
 
-/// Says anew which engines accept the model's long prompts.
-void updateLongMembers(Steward &steward, const ModelId &id, StewardModel &model, uint32_t size,
+/// Selects the @p size engines that accept the model's long prompts.
+void selectLongEngines(Steward &steward, const ModelId &id, StewardModel &model, uint32_t size,
                        TimePoint now)
 {
     std::vector<EndpointId> engines;
@@ -148,16 +148,17 @@
     return count;
 }
 
-/// Sizes the long set; its members change only with its size or the engines.
-void resizeLongMembers(Steward &steward, const ModelId &id, StewardModel &model, TimePoint now)
+/// Resizes the set of engines for long prompts. Its members change only if its size or the number
+/// of usable engines does.
+void resizeLongSetOf(Steward &steward, const ModelId &id, StewardModel &model, TimePoint now)
 {
     const auto engines = usableEngines(steward, id, now);
     const auto size = resizeLongSet(model.m_longSet, engines, now, steward.m_settings.m_longSet);
     if (size != model.m_longEngines || engines != model.m_engines)
-        updateLongMembers(steward, id, model, size, now);
+        selectLongEngines(steward, id, model, size, now);
 }
 
-/// Refusals that no waiting can mend.
+/// A refusal if the request fits on no endpoint of the shard, even when it is idle.
 std::optional<Refusal> finalRefusal(const Steward &steward, const GrantRequest &request)
 {
     bool served = false;
@@ -171,8 +172,10 @@
             return std::nullopt;
     }
     if (served)
-        return makeRefusal(RequestError::PromptTooLong, "longer than one engine's memory");
-    return makeRefusal(RequestError::NoCapacity, "no endpoint here serves the model", Seconds(1));
+        return makeRefusal(RequestError::PromptTooLong,
+                           "prompt and answer exceed the memory of one engine");
+    return makeRefusal(RequestError::NoCapacity, "no endpoint of this shard serves the model",
+                       Seconds(1));
 }
 
 WaitingRequest waitingRequest(const Steward &steward, const GrantRequest &request,
@@ -206,12 +209,12 @@
 {
     if (estimated.m_long)
         return PrefillKind::Long;
-    return goesInChunks(detail::weightsOf(steward, request.m_model), estimated.m_prefill)
+    return usesChunkedPrefill(detail::weightsOf(steward, request.m_model), estimated.m_prefill)
                ? PrefillKind::Chunked
                : PrefillKind::Whole;
 }
 
-/// Puts a request into the queue, telling what follows for it and for one that it displaces.
+/// Queues a request. Adds the decisions on it and on a request that it displaces.
 void enqueue(Steward &steward, const GrantRequest &request, const StewardEstimate &estimated,
              Duration wait, std::vector<GrantDecision> &decisions)
 {
@@ -228,19 +231,20 @@
     steward.m_models[request.m_model].m_longSet.m_waiting += longSeconds;
     if (!pushed.m_displaced)
         return;
-    const auto displaced = takeWaiting(steward, pushed.m_displaced->m_id);
+    const auto displaced = removeWaiting(steward, pushed.m_displaced->m_id);
     decisions.push_back(
-        refuse(displaced, makeRefusal(RequestError::DisplacedFromQueue,
-                                      "gave way to a request that goes first", wait)));
+        refuse(displaced,
+               makeRefusal(RequestError::DisplacedFromQueue,
+                           "displaced from the queue by a request that takes precedence", wait)));
 }
 
-/// Notes a long request and sizes the long set by it.
+/// Records the demand of a long request and resizes the set of engines for long prompts.
 void noteDemand(Steward &steward, const GrantRequest &request, const StewardEstimate &estimated,
                 TimePoint now)
 {
     auto &model = steward.m_models[request.m_model];
     noteLongDemand(model.m_longSet, estimated.m_prefill, now, steward.m_settings.m_longSet);
-    resizeLongMembers(steward, request.m_model, model, now);
+    resizeLongSetOf(steward, request.m_model, model, now);
 }
 
 std::optional<Refusal> lateRefusal(const Steward &steward, const GrantRequest &request,
@@ -251,10 +255,11 @@
                         random);
 }
 
-/// Queues a request that fits nowhere now, unless it may not wait or cannot make it.
-std::vector<GrantDecision> decideToWait(Steward &steward, const GrantRequest &request,
-                                        const StewardEstimate &estimated, TimePoint now,
-                                        RandomEngine &random)
+/// Queues a request that fits on no endpoint now, unless it may not wait or cannot meet its
+/// deadline.
+std::vector<GrantDecision> queueOrReject(Steward &steward, const GrantRequest &request,
+                                         const StewardEstimate &estimated, TimePoint now,
+                                         RandomEngine &random)
 {
     std::vector<GrantDecision> decisions;
     const auto wait =
@@ -268,21 +273,21 @@
     return decisions;
 }
 
-/// Decides on a new request, once all that wait and fit have been granted.
+/// Decides on a new request. Waiting requests that fit have been granted before.
 std::vector<GrantDecision> decide(Steward &steward, const GrantRequest &request, TimePoint now,
                                   RandomEngine &random)
 {
-    const bool maybeLong = isLongPrefill(lengthClass(request.m_need.m_promptTokens));
+    const bool mayBeLong = isLongPrefill(lengthClass(request.m_need.m_promptTokens));
     std::optional<StewardEstimate> estimated;
-    if (maybeLong)
+    if (mayBeLong)
         estimated = detail::estimate(steward, request);
-    if (maybeLong && estimated->m_long)
+    if (mayBeLong && estimated->m_long)
         noteDemand(steward, request, *estimated, now);
     const auto placement = detail::tryPlace(steward, request, now);
     if (!placement)
-        return decideToWait(steward, request,
-                            estimated ? *estimated : detail::estimate(steward, request), now,
-                            random);
+        return queueOrReject(steward, request,
+                             estimated ? *estimated : detail::estimate(steward, request), now,
+                             random);
     const auto &endpoint = steward.m_endpoints.at(placement->m_endpoint);
     const auto run =
         placement->m_choice.m_predictedTtft + detail::predictDecode(steward, request, endpoint);
@@ -343,7 +348,7 @@
     if (!steward.m_waiting.contains(request))
         return false;
     steward.m_queue.remove(request);
-    takeWaiting(steward, request);
+    removeWaiting(steward, request);
     return true;
 }
 
@@ -358,17 +363,17 @@
 {
     std::vector<GrantDecision> decisions;
     for (auto &[id, endpoint] : steward.m_endpoints) {
-        for (const auto &grant : sweepExpired(endpoint.m_ledger, now))
+        for (const auto &grant : releaseExpired(endpoint.m_ledger, now))
             steward.m_grants.erase(grant.m_id);
     }
     for (const auto &late : steward.m_queue.expire(now)) {
-        const auto request = takeWaiting(steward, late.m_id);
+        const auto request = removeWaiting(steward, late.m_id);
         decisions.push_back(refuse(
             request, makeRefusal(RequestError::DeadlineUnmeetable,
-                                 "could not begin in time to meet the deadline", Seconds(1))));
+                                 "could not start in time to meet the deadline", Seconds(1))));
     }
     for (auto &[id, model] : steward.m_models)
-        resizeLongMembers(steward, id, model, now);
+        resizeLongSetOf(steward, id, model, now);
     grantWaiting(steward, now, decisions);
     return decisions;
 }
--- a/policy/steward.h
+++ b/policy/steward.h
@@ -1,8 +1,9 @@
-/// One steward's state: the endpoints that it keeps account of, and the requests that wait for
-/// them. Plain structs in, decisions out; whoever drives it sends the answers.
+/// The scheduler of one shard. The steward is the VM that grants requests places on the shard's
+/// endpoints: it keeps the ledgers of the endpoints and the queue of waiting requests. Functions
+/// take plain structs and return decisions; the caller sends them to the holders.
 ///
-/// Order of waiting: priority, then the customer's fair share, then the earliest deadline with
-/// aging (FairQueue). A request that fits on no endpoint now lets those behind it pass.
+/// Order of waiting requests: priority, then the customer's fair share, then the earliest deadline
+/// with aging (FairQueue). A request that fits on no endpoint now does not block those behind it.
 #pragma once
 
 #include <map>
@@ -20,49 +21,49 @@
 namespace stackquay {
 
 struct StewardSettings {
-    Millis m_grantTtl{ 2'000 }; ///< A grant that is not started within this is void.
-    Millis m_refusalPause{ 200 }; ///< No grants to an endpoint that just refused for want of room.
+    Millis m_grantTtl{ 2'000 }; ///< A grant that is not started within this time expires.
+    Millis m_refusalPause{ 200 }; ///< No grants on an endpoint after it refused a request.
     EndpointCapacity m_capacity{
         0, 64, 1, 0, 3, Millis(50)
-    }; ///< Until an endpoint's own is known.
-    Millis m_reserveAfter{ 1'000 }; ///< Waiting for memory before an endpoint is kept for it.
-    uint32_t m_maxVisited = 1'024; ///< Waiting requests looked at for each decision.
+    }; ///< Initial capacity of each endpoint.
+    Millis m_reserveMemoryAfter{ 1'000 }; ///< Wait for memory before one endpoint is reserved.
+    uint32_t m_maxWaitingVisited = 1'024; ///< Waiting requests examined for each grant.
     FairQueueSettings m_queue;
     DeadlineSettings m_deadlines;
     LongSetSettings m_longSet;
     EjectionSettings m_ejection;
 };
 
-/// A node's request for a place on some endpoint.
+/// A VM's request for a grant on one of the endpoints.
 struct GrantRequest {
     RequestId m_request;
     AttemptId m_attempt;
-    VmId m_holder;
+    VmId m_holder; ///< The requesting VM.
     CustomerId m_customer;
     ModelId m_model;
     int m_priority = 0;
     double m_weight = 1; ///< Customer::m_share.
     RequestNeed m_need;
-    std::vector<EndpointId> m_excluded; ///< Tried before.
-    bool m_mayWait = true; ///< Otherwise answered Busy instead of waiting.
+    std::vector<EndpointId> m_excluded; ///< Endpoints of earlier attempts.
+    bool m_mayWait = true; ///< False: answer Busy instead of queueing it.
     TimePoint m_arrived;
     TimePoint m_deadline;
 };
 
 enum class GrantAnswer {
     Granted,
-    Waiting, ///< A later decision will follow.
-    Busy, ///< Would have to wait and may not; nothing is kept.
-    Refused, ///< Final; nothing is kept.
+    Waiting, ///< Queued; another decision will follow.
+    Busy, ///< Would have to wait, but may not. Not queued.
+    Refused, ///< Final. Not queued.
 };
 
 struct GrantDecision {
     RequestId m_request;
-    VmId m_holder; ///< Whom to tell.
+    VmId m_holder; ///< Receiver of the decision.
     GrantAnswer m_answer = GrantAnswer::Refused;
-    EndpointId m_endpoint; ///< Granted only, as are the next three.
+    EndpointId m_endpoint; ///< Granted only, like the next three members.
     Grant m_grant;
-    uint64_t m_chunkTokens = 0; ///< Prefill in chunks of this many tokens; 0: all at once.
+    uint64_t m_chunkTokens = 0; ///< Tokens of each prefill chunk; 0: unchunked.
     Duration m_predictedTtft{};
     Duration m_predictedWait{}; ///< Waiting and Busy.
     Refusal m_refusal; ///< Refused only.
@@ -71,59 +72,59 @@
 /// How an attempt at an endpoint ended.
 enum class AttemptEnd {
     Complete,
-    Failed, ///< The endpoint is to blame: cut, error, timeout.
+    Failed, ///< Fault of the endpoint: connection loss, error, timeout.
     Cancelled, ///< By the caller or the deadline.
-    NoMemory, ///< The endpoint's own refusals.
+    NoMemory, ///< This and the following: refused by the endpoint.
     QueueFull,
     Draining,
     ModelNotLoaded,
 };
 
-/// What the node saw of the attempt; zero where it saw nothing.
+/// Measurements of an attempt by its holder; zero if unknown.
 struct AttemptReport {
     AttemptEnd m_end = AttemptEnd::Complete;
     uint64_t m_cachedTokens = 0;
-    Duration m_prefill{}; ///< Time on the engine, without its queue.
+    Duration m_prefill{}; ///< Time of the prefill, without waiting in the engine's queue.
     Duration m_decode{}; ///< From the first token to the last.
     uint64_t m_outputTokens = 0;
 };
 
-/// An endpoint as the steward keeps it.
+/// The steward's state of one endpoint.
 struct StewardEndpoint {
     EndpointLedger m_ledger;
     CostModel m_cost;
     PrefixIndex m_prefixes;
     EndpointHealth m_health;
-    std::vector<ModelId> m_models; ///< Those that it serves now.
-    std::vector<ModelId> m_longModels; ///< Those whose long prompts it accepts.
+    std::vector<ModelId> m_models; ///< Models that it serves.
+    std::vector<ModelId> m_longModels; ///< Models whose long prompts it accepts.
     bool m_draining = false;
-    TimePoint m_pausedUntil;
+    TimePoint m_pausedUntil; ///< No grants before this time, after a refusal.
 };
 
-/// What the steward knows of a model over its endpoints.
+/// The steward's state of one model.
 struct StewardModel {
     RoutingObjective m_objective = RoutingObjective::ShortSlowdown;
     LongSet m_longSet;
-    uint32_t m_engines = 0; ///< Usable ones that serve it, as of the last look.
-    uint32_t m_longEngines = 0; ///< Of those, the ones that accept long prompts.
-    double m_outputRatio = 0.5; ///< Mean of real to largest answer.
+    uint32_t m_engines = 0; ///< Usable endpoints that serve it, as of the last update.
+    uint32_t m_longEngines = 0; ///< How many of these accept long prompts.
+    double m_outputRatio = 0.5; ///< Moving average of output tokens / the upper limit.
 };
 
-/// How a prefill is expected to go. What one waits for, all of its kind wait for.
+/// How a prefill will run. Requests of one model and kind wait for the same resources.
 enum class PrefillKind {
     Whole,
     Chunked,
-    Long, ///< On an engine that accepts long prompts.
+    Long, ///< Only on engines that accept long prompts.
 };
 
-/// A request that waits.
+/// A queued request.
 struct WaitingGrant {
     GrantRequest m_request;
     PrefillKind m_kind = PrefillKind::Whole;
-    double m_longSeconds = 0; ///< Of prefill, if it is long.
+    double m_longSeconds = 0; ///< Predicted time of a long prefill; 0 for others.
 };
 
-/// An endpoint that takes nobody else until a request fits there.
+/// An endpoint that accepts no other request until the reserved one fits.
 struct MemoryReservation {
     EndpointId m_endpoint;
     RequestId m_request;
@@ -131,72 +132,82 @@
 
 struct Steward {
     StewardSettings m_settings;
-    std::string m_idPrefix; ///< Makes the grant ids unique: VM and incarnation.
+    std::string m_idPrefix; ///< VM and incarnation; makes grant ids unique.
     uint64_t m_nextGrant = 0;
     std::map<EndpointId, StewardEndpoint> m_endpoints;
     std::map<ModelId, StewardModel> m_models;
-    std::unordered_map<GrantId, EndpointId> m_grants;
+    std::unordered_map<GrantId, EndpointId> m_grants; ///< Live grants of all endpoints.
     std::unordered_map<RequestId, WaitingGrant> m_waiting;
     FairQueue m_queue;
     std::optional<MemoryReservation> m_reservation;
 };
 
+/// A steward without endpoints. @p idPrefix must differ between processes.
 Steward makeSteward(std::string idPrefix, const StewardSettings &settings = {});
 
-/// Sets the objective that the intent declares for a model.
+/// Sets the routing objective of a model, as declared in the configuration.
 void setObjective(Steward &steward, const ModelId &model, RoutingObjective objective);
 
-/// What the endpoint said of itself (or the intent says of it).
+/// Properties of an endpoint, as reported by itself or configured.
 struct EndpointFacts {
     EndpointId m_id;
     std::vector<ModelId> m_models;
-    std::string m_version; ///< Of what it serves; another one starts the cost model again.
-    uint64_t m_memoryTokens = 0; ///< 0: not known.
+    std::string m_version; ///< Version of its models; a change resets the cost model.
+    uint64_t m_memoryTokens = 0; ///< Capacity of its KV cache; 0: unknown.
     bool m_draining = false;
 };
 
-/// Adds or changes an endpoint. Returns grants to requests that waited.
+/// Adds or updates an endpoint. Returns decisions on waiting requests, as expire() does.
 std::vector<GrantDecision> updateEndpoint(Steward &steward, const EndpointFacts &facts,
                                           TimePoint now);
 
-/// The grants that an endpoint's leaving makes void, and what follows for waiting requests.
-struct EndpointLeft {
+/// Result of the removal of an endpoint: its grants, which are revoked, and decisions on waiting
+/// requests.
+struct EndpointRemoval {
     std::vector<Grant> m_revoked;
     std::vector<GrantDecision> m_decisions;
 };
-EndpointLeft endpointLeft(Steward &steward, const EndpointId &endpoint, TimePoint now);
+/// Removes an endpoint. The result is empty if it is unknown.
+EndpointRemoval endpointLeft(Steward &steward, const EndpointId &endpoint, TimePoint now);
 
-/// Decides on a request. The first decision is about it; others are about those it displaced.
+/// Decides on a request. The first decision is about this request; the others are about waiting
+/// requests that were granted before it or displaced by it. A request that waits already stays
+/// queued.
 std::vector<GrantDecision> requestGrant(Steward &steward, const GrantRequest &request,
                                         TimePoint now, RandomEngine &random);
-/// The caller of a waiting request is gone. False if it does not wait.
+/// Removes a waiting request from the queue. False if it does not wait.
 bool cancelWaiting(Steward &steward, const RequestId &request);
 
-/// The holder began to send. False: the grant is void, so ask again, or adopt what is sent.
+/// Records that the holder started the request. False if the grant expired or was revoked: the
+/// holder requests a new one, or adoptGrant() is called if the request was sent already.
 bool noteStarted(Steward &steward, const GrantId &grant, TimePoint now, TimePoint expiry);
-/// Enters what is in flight but unknown here: grants of an earlier steward.
+/// Adds a grant of an earlier steward whose request is still in flight. False if the endpoint is
+/// unknown or the grant is known already.
 bool adoptGrant(Steward &steward, const EndpointId &endpoint, const Grant &grant, TimePoint now);
-/// A chunk is done with @p prefilledTokens in the cache so far. Returns the next chunk's tokens.
+/// Records that a chunk is done. @p prefilledTokens: tokens of the prompt prefilled so far, cached
+/// ones included. Returns the tokens of the next chunk; 0 if the grant is unknown.
 uint64_t noteChunkDone(Steward &steward, const GrantId &grant, uint64_t prefilledTokens,
                        TimePoint now);
-/// A sign of life of the holder: moves the expiry on.
-bool noteAlive(Steward &steward, const GrantId &grant, TimePoint expiry);
-/// The first token came. Returns grants to requests that waited.
+/// Records a heartbeat of the holder, which extends the expiry. False if the grant is unknown.
+bool noteHeartbeat(Steward &steward, const GrantId &grant, TimePoint expiry);
+/// Records the first token. Returns grants for waiting requests.
 std::vector<GrantDecision> noteFirstToken(Steward &steward, const GrantId &grant, TimePoint now);
-/// The attempt is over, in whatever way. Idempotent. Returns grants to requests that waited.
+/// Records the end of an attempt, with any result, and releases its grant. Idempotent. Returns
+/// grants for waiting requests.
 std::vector<GrantDecision> noteFinished(Steward &steward, const GrantId &grant,
                                         const AttemptReport &report, TimePoint now);
-/// Cache events of an engine, by block name; @p gap: some were lost before these.
+/// Records a cache event of an engine: @p block, a hash as in PrefixBlock, was stored or evicted.
 void noteCacheEvent(Steward &steward, const EndpointId &endpoint, uint64_t block, bool stored);
 
-/// Grants to waiting requests that fit now. The other calls do it too where it is due.
+/// Grants waiting requests that fit now. The functions that free capacity call it themselves.
 std::vector<GrantDecision> grantWaiting(Steward &steward, TimePoint now);
 
-/// Voids expired grants, refuses requests that can no longer make it, grants to others. Call at
-/// least every few hundred milliseconds.
+/// Releases expired grants, refuses waiting requests that can no longer meet their deadline, and
+/// grants others. Call at least every few hundred milliseconds.
 std::vector<GrantDecision> expire(Steward &steward, TimePoint now);
 
-/// Predicted time that a new request of this customer and priority would wait.
+/// Predicted queueing time of a new request of this customer and priority. @p weight: as
+/// GrantRequest::m_weight.
 Duration predictedWait(const Steward &steward, const CustomerId &customer, int priority,
                        double weight);
 
--- a/policy/steward_endpoints.cpp
+++ b/policy/steward_endpoints.cpp
@@ -10,6 +10,7 @@
 
 using FloatSeconds = std::chrono::duration<double>;
 
+/// The endpoint of a grant; null if the grant is unknown.
 StewardEndpoint *endpointOf(Steward &steward, const GrantId &grant)
 {
     const auto known = steward.m_grants.find(grant);
@@ -19,7 +20,8 @@
     return endpoint == steward.m_endpoints.end() ? nullptr : &endpoint->second;
 }
 
-std::vector<CostModel> siblingsOf(const Steward &steward, const EndpointId &self)
+/// Cost models of all endpoints but @p self.
+std::vector<CostModel> otherCostModels(const Steward &steward, const EndpointId &self)
 {
     std::vector<CostModel> siblings;
     for (const auto &[id, endpoint] : steward.m_endpoints) {
@@ -29,10 +31,10 @@
     return siblings;
 }
 
-/// Learns from what a complete attempt took.
-void learn(StewardEndpoint &endpoint, const Grant &grant, const AttemptReport &report)
+/// Updates the prefix index and the cost model with the measurements of a complete attempt.
+void updateCostModel(StewardEndpoint &endpoint, const Grant &grant, const AttemptReport &report)
 {
-    noteCached(endpoint.m_prefixes, grant.m_cachedTokens, report.m_cachedTokens);
+    adjustCapacity(endpoint.m_prefixes, grant.m_cachedTokens, report.m_cachedTokens);
     const uint64_t prompt = grant.m_cachedTokens + grant.m_uncachedTokens;
     const uint64_t cached = std::min(report.m_cachedTokens, prompt);
     if (report.m_prefill > Duration::zero())
@@ -46,8 +48,9 @@
                       report.m_decode / static_cast<int64_t>(report.m_outputTokens - 1));
 }
 
-void learnOutput(Steward &steward, const StewardEndpoint &endpoint, const Grant &grant,
-                 uint64_t outputTokens)
+/// Updates StewardModel::m_outputRatio of all models of the endpoint.
+void updateOutputRatio(Steward &steward, const StewardEndpoint &endpoint, const Grant &grant,
+                       uint64_t outputTokens)
 {
     constexpr double Gain = 0.02;
     if (grant.m_outputTokens == 0)
@@ -60,15 +63,15 @@
     }
 }
 
-void noteEnd(Steward &steward, StewardEndpoint &endpoint, const Grant &grant,
-             const AttemptReport &report, TimePoint now)
+void applyAttemptEnd(Steward &steward, StewardEndpoint &endpoint, const Grant &grant,
+                     const AttemptReport &report, TimePoint now)
 {
     switch (report.m_end) {
     case AttemptEnd::Complete:
         noteSuccess(endpoint.m_health);
         noteAccepted(endpoint.m_ledger, steward.m_settings.m_capacity.m_slots);
-        learn(endpoint, grant, report);
-        learnOutput(steward, endpoint, grant, report.m_outputTokens);
+        updateCostModel(endpoint, grant, report);
+        updateOutputRatio(steward, endpoint, grant, report.m_outputTokens);
         return;
     case AttemptEnd::Failed:
         noteFailure(endpoint.m_health, now, steward.m_settings.m_ejection);
@@ -99,9 +102,9 @@
     if (added) {
         endpoint.m_ledger.m_endpoint = facts.m_id;
         endpoint.m_ledger.m_capacity = steward.m_settings.m_capacity;
-        endpoint.m_cost = coldStartCostModel(facts.m_version, siblingsOf(steward, facts.m_id));
+        endpoint.m_cost = coldStartCostModel(facts.m_version, otherCostModels(steward, facts.m_id));
     } else if (endpoint.m_cost.m_version != facts.m_version) {
-        resetForVersion(endpoint.m_cost, facts.m_version, siblingsOf(steward, facts.m_id));
+        resetForVersion(endpoint.m_cost, facts.m_version, otherCostModels(steward, facts.m_id));
         clearIndex(endpoint.m_prefixes);
     }
     if (facts.m_memoryTokens != 0)
@@ -113,9 +116,9 @@
     return expire(steward, now);
 }
 
-EndpointLeft endpointLeft(Steward &steward, const EndpointId &endpoint, TimePoint now)
+EndpointRemoval endpointLeft(Steward &steward, const EndpointId &endpoint, TimePoint now)
 {
-    EndpointLeft left;
+    EndpointRemoval left;
     const auto known = steward.m_endpoints.find(endpoint);
     if (known == steward.m_endpoints.end())
         return left;
@@ -159,7 +162,7 @@
     return chunkTokens(endpoint->m_cost, { 0, done, batch }, bound);
 }
 
-bool noteAlive(Steward &steward, const GrantId &grant, TimePoint expiry)
+bool noteHeartbeat(Steward &steward, const GrantId &grant, TimePoint expiry)
 {
     auto *endpoint = endpointOf(steward, grant);
     return endpoint && extendGrant(endpoint->m_ledger, grant, expiry);
@@ -183,7 +186,7 @@
     const auto grant = releaseGrant(endpoint->m_ledger, id, now);
     if (!grant)
         return {};
-    noteEnd(steward, *endpoint, *grant, report, now);
+    applyAttemptEnd(steward, *endpoint, *grant, report, now);
     return grantWaiting(steward, now);
 }
 
--- a/policy/steward_place.h
+++ b/policy/steward_place.h
@@ -1,4 +1,4 @@
-/// Placing one request on the steward's endpoints. Internal to the policy library.
+/// Places single requests on the steward's endpoints. Internal to the policy library.
 #pragma once
 
 #include <algorithm>
@@ -13,35 +13,38 @@
     return std::find(range.begin(), range.end(), value) != range.end();
 }
 
-/// What a request is expected to take.
+/// Estimated cost of a request.
 struct StewardEstimate {
     Duration m_prefill = Duration::max();
-    Duration m_run{}; ///< Prefill and answer.
-    bool m_long = false;
+    Duration m_run{}; ///< Prefill and decode.
+    bool m_long = false; ///< isLongPrefill() holds for the uncached tokens.
 };
 
-/// An endpoint and what is predicted for the request there.
+/// An endpoint and the predictions for the request there.
 struct StewardPlacement {
     EndpointId m_endpoint;
     StewardChoice m_choice;
 };
 
+/// Whether the endpoint gets requests: not draining, ejected or paused.
 bool isUsable(const StewardEndpoint &endpoint, TimePoint now);
+/// The parameters for the objective of the model.
 StewardWeights weightsOf(const Steward &steward, const ModelId &model);
 
-/// Every endpoint that serves the request's model.
+/// All endpoints that serve the request's model, including unusable ones.
 std::vector<StewardCandidate> candidatesFor(const Steward &steward, const GrantRequest &request,
                                             TimePoint now);
-/// Time from the first token to the last.
+/// Predicted time from the first token to the last.
 Duration predictDecode(const Steward &steward, const GrantRequest &request,
                        const StewardEndpoint &endpoint);
-/// On the endpoint that would do it fastest.
+/// Estimate for the endpoint with the fastest prefill, regardless of its load. m_prefill is
+/// Duration::max() if no endpoint serves the model.
 StewardEstimate estimate(const Steward &steward, const GrantRequest &request);
 
-/// Where the request fits now, or why it does not.
+/// The endpoint that the request is to be placed on, or the reason why it fits on none now.
 tl::expected<StewardPlacement, LedgerRefusal> tryPlace(const Steward &steward,
                                                        const GrantRequest &request, TimePoint now);
-/// Enters the grant into the ledger, and says so.
+/// Creates the grant, adds it to the endpoint's ledger and returns the decision.
 GrantDecision grantChoice(Steward &steward, const GrantRequest &request,
                           const EndpointId &endpointId, const StewardChoice &choice, TimePoint now);
 
--- a/tests/policy/prefix_test.cpp
+++ b/tests/policy/prefix_test.cpp
@@ -13,7 +13,7 @@
     return result;
 }
 
-TEST(LengthClassTest, LimitsBelongToTheLowerClass)
+TEST(LengthClassTest, LimitsAreInclusive)
 {
     EXPECT_EQ(lengthClass(0), LengthClass::Short);
     EXPECT_EQ(lengthClass(4'096), LengthClass::Short);
@@ -25,7 +25,7 @@
     EXPECT_EQ(estimateTokens(5), 2u);
 }
 
-TEST(PrefixTest, NamesAreHashesOfTheTextUpToTheBlock)
+TEST(PrefixTest, BlockHashCoversAllTextUpToItsEnd)
 {
     const auto prompt = text(3 * PrefixBlockBytes + 10, 0);
     const auto blocks = prefixBlocks(prompt);
@@ -39,7 +39,7 @@
     EXPECT_FALSE(parseBlockName("12xy"));
 }
 
-TEST(PrefixTest, PiecesDoNotMatter)
+TEST(PrefixTest, ResultDoesNotDependOnThePieces)
 {
     const auto prompt = text(200'000, 1);
     PrefixHasher hasher;
@@ -48,7 +48,7 @@
     EXPECT_EQ(hasher.blocks(), prefixBlocks(prompt));
 }
 
-TEST(PrefixTest, TheLongestPromptGivesFewBlocks)
+TEST(PrefixTest, LongestPromptHasFewSampledBlocks)
 {
     const auto blocks = prefixBlocks(text(4'000'000, 2));
     EXPECT_LT(blocks.size(), 200u);
@@ -58,7 +58,7 @@
     EXPECT_EQ(bounded.blocks().size(), 4u);
 }
 
-TEST(PrefixTest, CommonStartSharesTheAffinityKey)
+TEST(PrefixTest, PromptsWithACommonPrefixShareTheAffinityKey)
 {
     const auto common = text(4 * PrefixBlockBytes, 3);
     const auto one = prefixBlocks(common + text(9'000, 4));
@@ -79,7 +79,7 @@
     EXPECT_EQ(cachedTokens(index, prefixBlocks(common)), 0u);
 }
 
-TEST(PrefixIndexTest, ForgetsTheLeastRecentlyUsed)
+TEST(PrefixIndexTest, EvictsTheLeastRecentlyUsed)
 {
     PrefixIndex index;
     index.m_capacity = 2;
@@ -94,18 +94,18 @@
     EXPECT_EQ(index.m_entries.size(), 1u);
 }
 
-TEST(PrefixIndexTest, ShrinksWhenTheEngineCachedLessThanBelieved)
+TEST(PrefixIndexTest, CapacityShrinksWhenTheEngineCachedLessThanExpected)
 {
     PrefixIndex index;
     for (uint64_t hash = 1; hash <= 1'000; ++hash)
         insertBlock(index, hash);
-    noteCached(index, 2'560, 256);
+    adjustCapacity(index, 2'560, 256);
     EXPECT_LT(index.m_entries.size(), 1'000u);
-    EXPECT_EQ(index.m_entries.size(), index.m_recent.size());
+    EXPECT_EQ(index.m_entries.size(), index.m_lruOrder.size());
     for (int i = 0; i < 1'000; ++i)
-        noteCached(index, 2'560, 0);
+        adjustCapacity(index, 2'560, 0);
     EXPECT_EQ(index.m_capacity, 256u);
-    noteCached(index, 2'560, 2'560);
+    adjustCapacity(index, 2'560, 2'560);
     EXPECT_EQ(index.m_capacity, 257u);
 }
 
--- a/tests/policy/steward_test.cpp
+++ b/tests/policy/steward_test.cpp
@@ -79,7 +79,7 @@
     EXPECT_EQ(first.m_answer, GrantAnswer::Granted);
     EXPECT_NE(first.m_grant.m_id, second.m_grant.m_id);
     EXPECT_EQ(ask(request(3)).m_answer, GrantAnswer::Waiting);
-    EXPECT_EQ(ask(request(3)).m_answer, GrantAnswer::Waiting); // A repeat.
+    EXPECT_EQ(ask(request(3)).m_answer, GrantAnswer::Waiting); // A repeated request.
     const auto freed = finish(first.m_grant.m_id);
     ASSERT_EQ(freed.size(), 1u);
     EXPECT_EQ(freed[0].m_request, RequestId("3"));
@@ -89,7 +89,7 @@
     expectEmpty();
 }
 
-TEST_F(StewardTest, BusyKeepsNothing)
+TEST_F(StewardTest, BusyRequestIsNotQueued)
 {
     addEndpoints(1);
     ask(request(1));
@@ -100,7 +100,7 @@
     EXPECT_TRUE(m_steward.m_waiting.empty());
 }
 
-TEST_F(StewardTest, HigherPriorityGoesFirst)
+TEST_F(StewardTest, HigherPriorityIsGrantedFirst)
 {
     addEndpoints(1);
     const auto held = ask(request(1));
@@ -112,7 +112,7 @@
     EXPECT_EQ(finish(held.m_grant.m_id).at(0).m_request, RequestId("4"));
 }
 
-TEST_F(StewardTest, ShortOnesPassALongOneThatWaits)
+TEST_F(StewardTest, ShortRequestsOvertakeAWaitingLongOne)
 {
     addEndpoints(2);
     EXPECT_EQ(ask(request(1, 50'000)).m_answer, GrantAnswer::Granted);
@@ -120,7 +120,7 @@
     EXPECT_EQ(ask(request(3)).m_answer, GrantAnswer::Granted);
 }
 
-TEST_F(StewardTest, LongPromptsGoInChunksOfBoundedTime)
+TEST_F(StewardTest, LongPromptsArePrefilledInChunksOfBoundedTime)
 {
     addEndpoints(1);
     const auto decision = ask(request(1, 50'000));
@@ -132,10 +132,10 @@
         EXPECT_LE(predictPrefill(cost, { decision.m_chunkTokens, 50'000, 0 }), bound);
     }
     const auto &ledger = m_steward.m_endpoints.begin()->second.m_ledger;
-    EXPECT_LE(blockingAhead(ledger, m_now), bound);
-    const auto before = prefillAhead(ledger, m_now);
+    EXPECT_LE(unchunkedStartDelay(ledger, m_now), bound);
+    const auto before = remainingPrefillTime(ledger, m_now);
     EXPECT_GT(noteChunkDone(m_steward, decision.m_grant.m_id, 25'000, m_now), 0u);
-    EXPECT_LT(prefillAhead(ledger, m_now), before);
+    EXPECT_LT(remainingPrefillTime(ledger, m_now), before);
     EXPECT_EQ(ask(request(2)).m_chunkTokens, 0u);
 }
 
@@ -151,25 +151,25 @@
     ASSERT_EQ(decisions.size(), 1u);
     EXPECT_EQ(decisions[0].m_request, RequestId("3"));
     EXPECT_FALSE(noteStarted(m_steward, lost.m_grant.m_id, m_now, m_now + Seconds(30)));
-    EXPECT_TRUE(noteAlive(m_steward, started.m_grant.m_id, m_now + Seconds(60)));
+    EXPECT_TRUE(noteHeartbeat(m_steward, started.m_grant.m_id, m_now + Seconds(60)));
 }
 
-TEST_F(StewardTest, LeavingEndpointVoidsItsGrants)
+TEST_F(StewardTest, RemovingAnEndpointRevokesItsGrants)
 {
     addEndpoints(2);
     std::set<RequestId> held;
     for (int i = 1; i <= 4; ++i)
         held.insert(ask(request(i)).m_request);
     ask(request(5));
-    const auto left = endpointLeft(m_steward, EndpointId("e0"), m_now);
-    EXPECT_EQ(left.m_revoked.size(), 2u);
-    EXPECT_TRUE(left.m_decisions.empty());
+    const auto removal = endpointLeft(m_steward, EndpointId("e0"), m_now);
+    EXPECT_EQ(removal.m_revoked.size(), 2u);
+    EXPECT_TRUE(removal.m_decisions.empty());
     EXPECT_EQ(m_steward.m_grants.size(), 2u);
-    EXPECT_TRUE(finish(left.m_revoked[0].m_id).empty());
+    EXPECT_TRUE(finish(removal.m_revoked[0].m_id).empty());
     EXPECT_EQ(endpointLeft(m_steward, EndpointId("e0"), m_now).m_revoked.size(), 0u);
 }
 
-TEST_F(StewardTest, RefusesWhatCannotBeDone)
+TEST_F(StewardTest, RefusesRequestsThatCannotBeServed)
 {
     EXPECT_EQ(ask(request(1)).m_refusal.m_error, RequestError::NoCapacity);
     addEndpoints(1);
@@ -180,13 +180,13 @@
     EXPECT_EQ(ask(late).m_refusal.m_outcome, Outcome::RefusedNotRun);
 }
 
-TEST_F(StewardTest, WaitingRequestIsRefusedWhenItCanNoLongerBegin)
+TEST_F(StewardTest, WaitingRequestIsRefusedAfterItsDeadline)
 {
     addEndpoints(1);
     ask(request(1));
     ask(request(2));
     for (auto &[id, endpoint] : m_steward.m_grants)
-        noteAlive(m_steward, id, m_now + Seconds(600));
+        noteHeartbeat(m_steward, id, m_now + Seconds(600));
     ask(request(3));
     m_now += Seconds(61);
     const auto decisions = expire(m_steward, m_now);
@@ -195,7 +195,7 @@
     EXPECT_TRUE(m_steward.m_waiting.empty());
 }
 
-TEST_F(StewardTest, EndpointsOwnRefusalPausesIt)
+TEST_F(StewardTest, RefusalByAnEndpointPausesIt)
 {
     addEndpoints(2);
     const auto first = ask(request(1));
@@ -206,7 +206,7 @@
     EXPECT_EQ(ask(request(4)).m_endpoint, first.m_endpoint);
 }
 
-TEST_F(StewardTest, RequestThatLongWaitedForMemoryGetsAnEndpointKept)
+TEST_F(StewardTest, EndpointIsReservedForARequestThatWaitsLongForMemory)
 {
     m_steward.m_settings.m_capacity.m_slots = 50;
     addEndpoints(1);
@@ -229,7 +229,7 @@
     EXPECT_FALSE(m_steward.m_reservation);
 }
 
-TEST_F(StewardTest, AdoptsWhatAnEarlierStewardGranted)
+TEST_F(StewardTest, AdoptsGrantsOfAnEarlierSteward)
 {
     addEndpoints(1);
     Grant grant = ask(request(1)).m_grant;
@@ -241,7 +241,7 @@
     EXPECT_EQ(next.m_endpoints.begin()->second.m_ledger.m_totals.m_grants, 1u);
 }
 
-TEST_F(StewardTest, NoInterleavingLeaksOrForgets)
+TEST_F(StewardTest, RandomOperationsLeakNoGrantAndLoseNoRequest)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         m_random.seed(seed);
@@ -249,7 +249,7 @@
         addEndpoints(3);
         std::vector<GrantId> grants;
         std::set<RequestId> open;
-        const auto take = [&](const std::vector<GrantDecision> &decisions) {
+        const auto applyDecisions = [&](const std::vector<GrantDecision> &decisions) {
             for (const auto &decision : decisions) {
                 if (decision.m_answer == GrantAnswer::Granted)
                     grants.push_back(decision.m_grant.m_id);
@@ -267,32 +267,32 @@
                 auto next = request(step, 1 + m_random() % 120'000);
                 next.m_deadline = m_now + Millis(m_random() % 20'000);
                 open.insert(next.m_request);
-                take(requestGrant(m_steward, next, m_now, m_random));
+                applyDecisions(requestGrant(m_steward, next, m_now, m_random));
                 break;
             }
             case 2:
                 noteStarted(m_steward, any, m_now, m_now + Millis(m_random() % 10'000));
-                take(noteFirstToken(m_steward, any, m_now));
+                applyDecisions(noteFirstToken(m_steward, any, m_now));
                 break;
             case 3:
-                take(noteFinished(m_steward, any,
-                                  { static_cast<AttemptEnd>(m_random() % 6), 0, Millis(5) },
-                                  m_now));
+                applyDecisions(
+                    noteFinished(m_steward, any,
+                                 { static_cast<AttemptEnd>(m_random() % 6), 0, Millis(5) }, m_now));
                 break;
             case 4:
-                take(expire(m_steward, m_now));
+                applyDecisions(expire(m_steward, m_now));
                 break;
             default:
                 if (m_random() % 20 == 0)
-                    take(endpointLeft(m_steward, EndpointId("e1"), m_now).m_decisions);
-                take(updateEndpoint(m_steward, facts("e1"), m_now));
+                    applyDecisions(endpointLeft(m_steward, EndpointId("e1"), m_now).m_decisions);
+                applyDecisions(updateEndpoint(m_steward, facts("e1"), m_now));
             }
             ASSERT_EQ(open.size(), m_steward.m_waiting.size()) << seed << " " << step;
             ASSERT_EQ(m_steward.m_queue.size(), m_steward.m_waiting.size());
         }
         for (int i = 0; i < 5; ++i) {
             m_now += Seconds(100);
-            take(expire(m_steward, m_now));
+            applyDecisions(expire(m_steward, m_now));
         }
         expectEmpty();
         EXPECT_TRUE(open.empty()) << seed;
