--- a/policy/crash_suspects.h
+++ b/policy/crash_suspects.h
@@ -1,9 +1,9 @@
 /// Tracks requests that may crash the engines that run them. Each VM has one table.
 ///
 /// A request may crash every engine that runs it. A process that exits with requests in progress
-/// counts as crashed, and all these requests become suspects; the one that causes the crashes is present at each of them.
-/// Suspects are placed on different engines, so that the next crash tells them apart, and the
-/// number of concurrent attempts of a suspect is limited, so that it causes at most
+/// counts as crashed, and all these requests become suspects; the one at fault is present at each
+/// crash. Suspects are placed on different engines, so that the next crash tells them apart, and
+/// the number of concurrent attempts of a suspect is limited, so that it causes at most
 /// m_quarantineThreshold crashes. A suspect that completes is cleared. One that was present at
 /// m_quarantineThreshold crashes is quarantined: it is not sent any more, except for a few probes
 /// much later, which lift the quarantine once the engine is repaired or if the request was
@@ -61,7 +61,7 @@
 struct SuspectAttempt {
     Fingerprint m_print;
     TimePoint m_until{}; ///< Treated as ended from this time on.
-    bool m_trial = false; ///< A probe: begun while the suspect was quarantined.
+    bool m_trial = false; ///< Begun while the suspect was quarantined.
 };
 
 struct SuspectTable {
@@ -94,7 +94,7 @@
     Apart, ///< On an engine without another suspect.
     Alone, ///< As Apart, and on an engine with little load.
     Busy, ///< Not now: too many attempts of it are in flight.
-    Condemned, ///< Quarantined: not at all.
+    Condemned, ///< Not at all, except for probes.
 };
 
 struct SuspectVerdict {
@@ -108,7 +108,7 @@
 enum class SuspectChange {
     None,
     Known, ///< A new suspect, or a change to a known one.
-    Condemned, ///< The suspect is now quarantined.
+    Condemned, ///< The crash limit is reached: the suspect is not sent any more.
 };
 
 /// Identifies one process of an endpoint; @p startedMs: its start, Unix time in ms.
--- a/policy/ejection.h
+++ b/policy/ejection.h
@@ -22,8 +22,8 @@
 /// Evidence of a failure against the endpoint: the number of consecutive failures it counts as.
 enum class FailureWeight : uint32_t {
     None = 0, ///< The endpoint refused for lack of capacity: it works.
-    Chance = 1, ///< Weak: one answer was lost or corrupted.
-    Telling = 2, ///< Strong: no connection, or another process at the address.
+    Chance = 1, ///< One answer was lost or corrupted, possibly by chance.
+    Telling = 2, ///< No connection, or another process at the address.
 };
 
 /// Failures of all VMs at an endpoint since its last success at any VM, as reported to this VM.
