--- a/policy/endpoint_directory.h
+++ b/policy/endpoint_directory.h
@@ -61,9 +61,10 @@
 void noteSure(EndpointDirectory &directory);
 
 /// Merges @p offered, a peer's directory, into @p own. One of a later position replaces @p own,
-/// except for entries that it lacks or that are of earlier processes. Otherwise it only removes
-/// unconfirmed endpoints that it lacks, provided that it is complete and not older than
-/// own.m_surePosition. Returns whether @p own changed.
+/// except for records of earlier processes; if it is incomplete, endpoints that it lacks are kept
+/// as unconfirmed. One of the same or an earlier position only removes unconfirmed endpoints that
+/// it lacks, provided that it is complete and not older than own.m_surePosition. Returns whether
+/// @p own changed.
 bool joinDirectory(EndpointDirectory &own, const EndpointDirectory &offered);
 
 using EndpointDirectoryPtr = std::shared_ptr<const EndpointDirectory>;
--- a/policy/shard.cpp
+++ b/policy/shard.cpp
@@ -51,8 +51,8 @@
     for (uint32_t shard = 0; shard < sizes.size(); ++shard) {
         if (sizes[shard] == 0)
             continue;
-        // Weighted rendezvous hashing: order by exponentially distributed values with the sizes as
-        // rates.
+        // Weighted rendezvous hashing: sort by exponentially distributed values whose rates are
+        // the sizes.
         const double unit = (static_cast<double>(shardScore(shard, seed) >> 11) + 1) * 0x1p-53;
         order.push_back({ -std::log(unit) / sizes[shard], shard });
     }
