--- a/policy/steward.cpp
+++ b/policy/steward.cpp
@@ -211,7 +211,7 @@
         return PrefillKind::Long;
     return usesChunkedPrefill(detail::weightsOf(steward, request.m_model), estimated.m_prefill)
                ? PrefillKind::Chunked
-               : PrefillKind::Whole;
+               : PrefillKind::Unchunked;
 }
 
 /// Queues a request. Adds the decisions on it and on a request that it displaces.
--- a/policy/steward.h
+++ b/policy/steward.h
@@ -112,7 +112,7 @@
 
 /// How a prefill will run. Requests of one model and kind wait for the same resources.
 enum class PrefillKind {
-    Whole,
+    Unchunked,
     Chunked,
     Long, ///< Only on engines that accept long prompts.
 };
@@ -120,7 +120,7 @@
 /// A queued request.
 struct WaitingGrant {
     GrantRequest m_request;
-    PrefillKind m_kind = PrefillKind::Whole;
+    PrefillKind m_kind = PrefillKind::Unchunked;
     double m_longSeconds = 0; ///< Predicted time of a long prefill; 0 for others.
 };
 
--- a/policy/steward_endpoints.cpp
+++ b/policy/steward_endpoints.cpp
@@ -118,18 +118,18 @@
 
 EndpointRemoval endpointLeft(Steward &steward, const EndpointId &endpoint, TimePoint now)
 {
-    EndpointRemoval left;
+    EndpointRemoval removal;
     const auto known = steward.m_endpoints.find(endpoint);
     if (known == steward.m_endpoints.end())
-        return left;
-    left.m_revoked = revokeAll(known->second.m_ledger);
-    for (const auto &grant : left.m_revoked)
+        return removal;
+    removal.m_revoked = revokeAll(known->second.m_ledger);
+    for (const auto &grant : removal.m_revoked)
         steward.m_grants.erase(grant.m_id);
     steward.m_endpoints.erase(known);
     if (steward.m_reservation && steward.m_reservation->m_endpoint == endpoint)
         steward.m_reservation.reset();
-    left.m_decisions = expire(steward, now);
-    return left;
+    removal.m_decisions = expire(steward, now);
+    return removal;
 }
 
 bool noteStarted(Steward &steward, const GrantId &grant, TimePoint now, TimePoint expiry)
