--- a/policy/prefix.h
+++ b/policy/prefix.h
@@ -82,7 +82,7 @@
 struct PrefixIndex {
     std::list<uint64_t> m_lruOrder; ///< Most recently used first.
     std::unordered_map<uint64_t, std::list<uint64_t>::iterator> m_entries;
-    size_t m_capacity = 8'192; ///< In sampled blocks; see adjustCapacity().
+    size_t m_capacity = 8'192; ///< In blocks; see adjustCapacity().
 };
 
 /// Estimated number of tokens of the prompt's prefix that are cached.
--- a/policy/steward_place.h
+++ b/policy/steward_place.h
@@ -37,7 +37,7 @@
 /// Predicted time from the first token to the last.
 Duration predictDecode(const Steward &steward, const GrantRequest &request,
                        const StewardEndpoint &endpoint);
-/// Estimate for the endpoint with the fastest prefill, regardless of its load. m_prefill is
+/// Estimate for the endpoint with the fastest prefill, regardless of its queue. m_prefill is
 /// Duration::max() if no endpoint serves the model.
 StewardEstimate estimate(const Steward &steward, const GrantRequest &request);
 
