--- a/policy/limit_amount.cpp
+++ b/policy/limit_amount.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Relative slack for sums of rounded parts.
+/// Relative tolerance for sums of floating-point amounts.
 constexpr double RoundingSlack = 1e-9;
 
-bool fitsPart(double left, double right)
+bool withinRounding(double left, double right)
 {
     return left <= right + RoundingSlack * std::max(1.0, right);
 }
@@ -33,22 +33,22 @@
     return { amount.m_tokensPerSecond * factor, amount.m_concurrency * factor };
 }
 
-LimitAmount largest(const LimitAmount &left, const LimitAmount &right)
+LimitAmount componentMax(const LimitAmount &left, const LimitAmount &right)
 {
     return { std::max(left.m_tokensPerSecond, right.m_tokensPerSecond),
              std::max(left.m_concurrency, right.m_concurrency) };
 }
 
-LimitAmount smallest(const LimitAmount &left, const LimitAmount &right)
+LimitAmount componentMin(const LimitAmount &left, const LimitAmount &right)
 {
     return { std::min(left.m_tokensPerSecond, right.m_tokensPerSecond),
              std::min(left.m_concurrency, right.m_concurrency) };
 }
 
-bool fits(const LimitAmount &left, const LimitAmount &right)
+bool fitsWithin(const LimitAmount &left, const LimitAmount &right)
 {
-    return fitsPart(left.m_tokensPerSecond, right.m_tokensPerSecond)
-           && fitsPart(left.m_concurrency, right.m_concurrency);
+    return withinRounding(left.m_tokensPerSecond, right.m_tokensPerSecond)
+           && withinRounding(left.m_concurrency, right.m_concurrency);
 }
 
 } // namespace stackquay
--- a/policy/limit_amount.h
+++ b/policy/limit_amount.h
@@ -1,14 +1,15 @@
-/// An amount of a customer's limits: rate and concurrency together.
+/// A rate and a concurrency, for amounts of a customer's limits.
 #pragma once
 
 #include "core/core.h"
 
 namespace stackquay {
 
-/// Both parts are finite; a part that a customer has no limit for is ignored by whoever applies it.
+/// Both values are finite. A value for which the customer has no limit is ignored when the amount
+/// is applied, see toLimitSlice().
 struct LimitAmount {
     double m_tokensPerSecond = 0;
-    double m_concurrency = 0; ///< Requests in progress; may be a fraction until it is applied.
+    double m_concurrency = 0; ///< Requests in progress; rounded down when it is applied.
 
     bool operator==(const LimitAmount &) const = default;
     MSGPACK_DEFINE(m_tokensPerSecond, m_concurrency)
@@ -17,10 +18,10 @@
 LimitAmount operator+(const LimitAmount &left, const LimitAmount &right);
 LimitAmount operator-(const LimitAmount &left, const LimitAmount &right);
 LimitAmount operator*(const LimitAmount &amount, double factor);
-/// The larger, or smaller, of each part.
-LimitAmount largest(const LimitAmount &left, const LimitAmount &right);
-LimitAmount smallest(const LimitAmount &left, const LimitAmount &right);
-/// Whether each part of @p left is at most that of @p right, but for rounding.
-bool fits(const LimitAmount &left, const LimitAmount &right);
+/// The larger (smaller) rate and the larger (smaller) concurrency of the two amounts.
+LimitAmount componentMax(const LimitAmount &left, const LimitAmount &right);
+LimitAmount componentMin(const LimitAmount &left, const LimitAmount &right);
+/// Whether neither value of @p left exceeds that of @p right, apart from rounding errors.
+bool fitsWithin(const LimitAmount &left, const LimitAmount &right);
 
 } // namespace stackquay
--- a/policy/limit_shares.cpp
+++ b/policy/limit_shares.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-/// One of the two parts of an amount, so that both are planned by the same code.
-using Part = double LimitAmount::*;
-constexpr Part Parts[] = { &LimitAmount::m_tokensPerSecond, &LimitAmount::m_concurrency };
+/// Selects the rate or the concurrency of an amount, so that the same code plans both.
+using Dimension = double LimitAmount::*;
+constexpr Dimension Dimensions[] = { &LimitAmount::m_tokensPerSecond, &LimitAmount::m_concurrency };
 
-double rounded(double value, Part part)
+/// Rounds a concurrency down to whole requests; leaves a rate as it is.
+double rounded(double value, Dimension dimension)
 {
-    return part == &LimitAmount::m_concurrency ? std::floor(value) : value;
+    return dimension == &LimitAmount::m_concurrency ? std::floor(value) : value;
 }
 
 template<typename Shares>
@@ -26,75 +27,78 @@
     return found == shares.end() ? nullptr : &*found;
 }
 
-double weight(const DataCentreShare &share, double idle, Part part)
+double weight(const DataCentreShare &share, double idle, Dimension dimension)
 {
-    return share.m_leaving ? 0 : std::max(share.m_demand.*part, 0.0) + idle;
+    return share.m_removed ? 0 : std::max(share.m_demand.*dimension, 0.0) + idle;
 }
 
-std::vector<double> targets(const ShareSettings &settings, const ShareTable &table, Part part)
+std::vector<double> targetShares(const ShareSettings &settings, const ShareTable &table,
+                                 Dimension dimension)
 {
-    const double total = table.m_total.*part;
+    const double total = table.m_total.*dimension;
     const double idle = total * settings.m_idleWeight / static_cast<double>(table.m_shares.size());
     double sum = 0;
     for (const DataCentreShare &share : table.m_shares)
-        sum += weight(share, idle, part);
+        sum += weight(share, idle, dimension);
     std::vector<double> result;
     for (const DataCentreShare &share : table.m_shares) {
-        const double exact = sum > 0 ? total * weight(share, idle, part) / sum : 0;
-        result.push_back(rounded(exact, part));
+        const double exact = sum > 0 ? total * weight(share, idle, dimension) / sum : 0;
+        result.push_back(rounded(exact, dimension));
     }
     return result;
 }
 
-bool someoneWantsMore(const ShareSettings &settings, const ShareTable &table, Part part)
+bool anyNeedsMore(const ShareSettings &settings, const ShareTable &table, Dimension dimension)
 {
-    return std::any_of(
-        table.m_shares.begin(), table.m_shares.end(), [&](const DataCentreShare &share) {
-            return share.m_demand.*part > settings.m_pressure * (share.m_share.*part);
-        });
+    return std::any_of(table.m_shares.begin(), table.m_shares.end(),
+                       [&](const DataCentreShare &share) {
+                           return share.m_demand.*dimension
+                                  > settings.m_raiseThreshold * (share.m_share.*dimension);
+                       });
 }
 
 void lowerShares(const ShareSettings &settings, ShareTable &table,
-                 const std::vector<double> &targets, Part part)
+                 const std::vector<double> &targets, Dimension dimension)
 {
-    const bool overTotal = boundOnShares(table).*part > table.m_total.*part;
-    if (!overTotal && !someoneWantsMore(settings, table, part))
+    const bool overTotal = boundOnShares(table).*dimension > table.m_total.*dimension;
+    if (!overTotal && !anyNeedsMore(settings, table, dimension))
         return;
-    const double smallest = overTotal ? 0 : settings.m_hysteresis * (table.m_total.*part);
+    const double minChange = overTotal ? 0 : settings.m_hysteresis * (table.m_total.*dimension);
     for (size_t i = 0; i < table.m_shares.size(); ++i) {
-        double &share = table.m_shares[i].m_share.*part;
-        if (share - targets[i] > smallest)
+        double &share = table.m_shares[i].m_share.*dimension;
+        if (share - targets[i] > minChange)
             share = targets[i];
     }
 }
 
 void raiseShares(const ShareSettings &settings, ShareTable &table,
-                 const std::vector<double> &targets, Part part)
+                 const std::vector<double> &targets, Dimension dimension)
 {
-    const double free = table.m_total.*part - boundOnShares(table).*part;
+    const double free = table.m_total.*dimension - boundOnShares(table).*dimension;
     double missing = 0;
     for (size_t i = 0; i < table.m_shares.size(); ++i)
-        missing += std::max(targets[i] - table.m_shares[i].m_share.*part, 0.0);
-    if (missing <= 0 || free < settings.m_hysteresis * (table.m_total.*part))
+        missing += std::max(targets[i] - table.m_shares[i].m_share.*dimension, 0.0);
+    if (missing <= 0 || free < settings.m_hysteresis * (table.m_total.*dimension))
         return;
     const double fraction = std::min(free / missing, 1.0);
     for (size_t i = 0; i < table.m_shares.size(); ++i) {
         DataCentreShare &entry = table.m_shares[i];
         const double raise =
-            rounded(fraction * std::max(targets[i] - entry.m_share.*part, 0.0), part);
-        // Up to m_inForce a share is counted already; all above it comes out of what is free.
-        entry.m_share.*part += raise;
-        entry.m_inForce.*part = std::max(entry.m_inForce.*part, entry.m_share.*part);
+            rounded(fraction * std::max(targets[i] - entry.m_share.*dimension, 0.0), dimension);
+        // The total already counts a share up to m_maxInUse; only the excess uses free capacity.
+        entry.m_share.*dimension += raise;
+        entry.m_maxInUse.*dimension =
+            std::max(entry.m_maxInUse.*dimension, entry.m_share.*dimension);
     }
 }
 
-/// Notes in which version each share that differs was changed.
+/// Sets m_changedInVersion of each share that differs from @p before to the next version.
 void markChanges(ShareTable &table, const ShareTable &before, uint64_t version)
 {
     for (DataCentreShare &share : table.m_shares) {
         const DataCentreShare *old = findShare(before, share.m_dataCentre);
         if (old == nullptr || old->m_share != share.m_share)
-            share.m_changedAt = version + 1;
+            share.m_changedInVersion = version + 1;
     }
 }
 
@@ -111,8 +115,8 @@
                           const std::vector<DataCentreId> &dataCentres)
 {
     ShareTable table{ customer, total, {} };
-    const double part = 1.0 / static_cast<double>(std::max<size_t>(dataCentres.size(), 1));
-    LimitAmount share = total * part;
+    const double fraction = 1.0 / static_cast<double>(std::max<size_t>(dataCentres.size(), 1));
+    LimitAmount share = total * fraction;
     share.m_concurrency = std::floor(share.m_concurrency);
     for (const DataCentreId &dataCentre : dataCentres)
         table.m_shares.push_back({ dataCentre, share, share, 1, {}, false });
@@ -128,7 +132,7 @@
 {
     LimitAmount sum;
     for (const DataCentreShare &share : table.m_shares)
-        sum = sum + largest(share.m_share, share.m_inForce);
+        sum = sum + componentMax(share.m_share, share.m_maxInUse);
     return sum;
 }
 
@@ -138,23 +142,23 @@
     if (table.m_shares.empty())
         return std::nullopt;
     ShareTable planned = table;
-    for (const Part part : Parts) {
-        const std::vector<double> wanted = targets(settings, table, part);
-        lowerShares(settings, planned, wanted, part);
-        raiseShares(settings, planned, wanted, part);
+    for (const Dimension dimension : Dimensions) {
+        const std::vector<double> targets = targetShares(settings, table, dimension);
+        lowerShares(settings, planned, targets, dimension);
+        raiseShares(settings, planned, targets, dimension);
     }
     markChanges(planned, table, version);
     return ifChanged(std::move(planned), table);
 }
 
 std::optional<ShareTable> acknowledgeShare(const ShareTable &table, const DataCentreId &dataCentre,
-                                           uint64_t lowestInForce)
+                                           uint64_t oldestAppliedVersion)
 {
     ShareTable acknowledged = table;
     DataCentreShare *share = findIn(acknowledged.m_shares, dataCentre);
-    if (share == nullptr || lowestInForce < share->m_changedAt)
+    if (share == nullptr || oldestAppliedVersion < share->m_changedInVersion)
         return std::nullopt;
-    share->m_inForce = share->m_share;
+    share->m_maxInUse = share->m_share;
     return ifChanged(std::move(acknowledged), table);
 }
 
@@ -165,41 +169,42 @@
     DataCentreShare *share = findIn(reported.m_shares, dataCentre);
     if (share == nullptr)
         return std::nullopt;
-    const bool differs = std::any_of(std::begin(Parts), std::end(Parts), [&](Part part) {
-        const double change = std::abs(demand.*part - share->m_demand.*part);
-        return change > settings.m_hysteresis * (table.m_total.*part);
-    });
+    const bool differs =
+        std::any_of(std::begin(Dimensions), std::end(Dimensions), [&](Dimension dimension) {
+            const double change = std::abs(demand.*dimension - share->m_demand.*dimension);
+            return change > settings.m_hysteresis * (table.m_total.*dimension);
+        });
     if (!differs)
         return std::nullopt;
     share->m_demand = demand;
     return reported;
 }
 
-std::optional<ShareTable> followIntent(const ShareTable &table, const LimitAmount &total,
-                                       const std::vector<DataCentreId> &dataCentres,
-                                       uint64_t version)
+std::optional<ShareTable> applyIntent(const ShareTable &table, const LimitAmount &total,
+                                      const std::vector<DataCentreId> &dataCentres,
+                                      uint64_t version)
 {
-    ShareTable followed = table;
-    followed.m_total = total;
+    ShareTable updated = table;
+    updated.m_total = total;
     const auto declared = [&](const DataCentreId &id) {
         return std::find(dataCentres.begin(), dataCentres.end(), id) != dataCentres.end();
     };
-    for (DataCentreShare &share : followed.m_shares) {
-        share.m_leaving = !declared(share.m_dataCentre);
-        if (!share.m_leaving)
+    for (DataCentreShare &share : updated.m_shares) {
+        share.m_removed = !declared(share.m_dataCentre);
+        if (!share.m_removed)
             continue;
         share.m_share = {};
         share.m_demand = {};
     }
-    std::erase_if(followed.m_shares, [&](const DataCentreShare &share) {
-        return share.m_leaving && share.m_inForce == LimitAmount{};
+    std::erase_if(updated.m_shares, [&](const DataCentreShare &share) {
+        return share.m_removed && share.m_maxInUse == LimitAmount{};
     });
     for (const DataCentreId &id : dataCentres) {
-        if (findShare(followed, id) == nullptr)
-            followed.m_shares.push_back({ id, {}, {}, 0, {}, false });
+        if (findShare(updated, id) == nullptr)
+            updated.m_shares.push_back({ id, {}, {}, 0, {}, false });
     }
-    markChanges(followed, table, version);
-    return ifChanged(std::move(followed), table);
+    markChanges(updated, table, version);
+    return ifChanged(std::move(updated), table);
 }
 
 void applyShare(AppliedShare &applied, const ShareTable &table, uint64_t version,
--- a/policy/slice_holder.cpp
+++ b/policy/slice_holder.cpp
@@ -13,20 +13,21 @@
         std::chrono::duration<double, Duration::period>(duration) * factor);
 }
 
-/// Longer than any earlier process's promises can be relied on, by any clock.
-Duration settlingTime(const SliceSettings &settings)
+/// How long after its start a process must not use its fallback amount: longer than a steward
+/// relies on the fallback cap of an earlier process, by any clock.
+Duration fallbackDelay(const SliceSettings &settings)
 {
-    return scaled(settings.m_quiet, 1 + 2 * settings.m_clockDrift);
+    return scaled(settings.m_fallbackCap, 1 + 2 * settings.m_clockDrift);
 }
 
-bool isSettled(const SliceHolder &holder, TimePoint now)
+bool mayUseFallback(const SliceHolder &holder, TimePoint now)
 {
-    return now >= holder.m_started + settlingTime(holder.m_settings);
+    return now >= holder.m_started + fallbackDelay(holder.m_settings);
 }
 
 bool holdsSlice(const SliceHolder &holder, TimePoint now)
 {
-    return holder.m_held != 0 && now < holder.m_expiry;
+    return holder.m_heldNumber != 0 && now < holder.m_expiry;
 }
 
 } // namespace
@@ -42,10 +43,10 @@
 {
     if (holdsSlice(holder, now))
         return holder.m_slice;
-    if (!isSettled(holder, now))
+    if (!mayUseFallback(holder, now))
         return {};
-    if (now < holder.m_quietUntil)
-        return smallest(holder.m_slice, holder.m_fallback);
+    if (now < holder.m_fallbackCappedUntil)
+        return componentMin(holder.m_slice, holder.m_fallback);
     return holder.m_fallback;
 }
 
@@ -53,50 +54,54 @@
 {
     if (holdsSlice(holder, now))
         return holder.m_expiry;
-    const TimePoint settled = holder.m_started + settlingTime(holder.m_settings);
-    for (const TimePoint change : { settled, holder.m_quietUntil }) {
+    const TimePoint fallbackAllowedAt = holder.m_started + fallbackDelay(holder.m_settings);
+    for (const TimePoint change : { fallbackAllowedAt, holder.m_fallbackCappedUntil }) {
         if (now < change)
             return change;
     }
     return std::nullopt;
 }
 
-SliceAsk makeAsk(SliceHolder &holder, const LimitAmount &demand, const LimitAmount &inUse,
-                 TimePoint now)
+SliceRequest makeSliceRequest(SliceHolder &holder, const LimitAmount &demand,
+                              const LimitAmount &inUse, TimePoint now)
 {
     holder.m_lastNumber += 1;
-    holder.m_asks[holder.m_lastNumber % SliceHolder::RememberedAsks] = { holder.m_lastNumber, now };
-    SliceAsk ask;
-    ask.m_customer = holder.m_customer;
-    ask.m_node = holder.m_node;
-    ask.m_number = holder.m_lastNumber;
-    ask.m_held = holdsSlice(holder, now) ? holder.m_held : 0;
-    ask.m_settled = isSettled(holder, now);
-    ask.m_demand = demand;
-    ask.m_inUse = inUse;
-    ask.m_echoTerm = holder.m_echoTerm;
-    ask.m_echo = holder.m_echo;
-    return ask;
+    holder.m_recentRequests[holder.m_lastNumber % SliceHolder::RecentRequestCount] = {
+        holder.m_lastNumber, now
+    };
+    SliceRequest request;
+    request.m_customer = holder.m_customer;
+    request.m_node = holder.m_node;
+    request.m_number = holder.m_lastNumber;
+    request.m_heldNumber = holdsSlice(holder, now) ? holder.m_heldNumber : 0;
+    request.m_fallbackAllowed = mayUseFallback(holder, now);
+    request.m_demand = demand;
+    request.m_inUse = inUse;
+    request.m_echoedTerm = holder.m_echoedTerm;
+    request.m_echoedTimestamp = holder.m_echoedTimestamp;
+    return request;
 }
 
 bool receiveGrant(SliceHolder &holder, const SliceGrant &grant, TimePoint now)
 {
     if (grant.m_node != holder.m_node || grant.m_customer != holder.m_customer)
         return false;
-    if (grant.m_number <= holder.m_held)
+    if (grant.m_number <= holder.m_heldNumber)
         return false;
-    const SliceHolder::SentAsk &ask = holder.m_asks[grant.m_number % SliceHolder::RememberedAsks];
-    if (ask.m_number != grant.m_number)
+    const SliceHolder::SentRequest &request =
+        holder.m_recentRequests[grant.m_number % SliceHolder::RecentRequestCount];
+    if (request.m_number != grant.m_number)
         return false;
-    holder.m_echoTerm = grant.m_term;
-    holder.m_echo = grant.m_stamp;
-    const TimePoint expiry = ask.m_sent + grant.m_ttl;
+    holder.m_echoedTerm = grant.m_term;
+    holder.m_echoedTimestamp = grant.m_timestamp;
+    const TimePoint expiry = request.m_sent + grant.m_ttl;
     if (now >= expiry)
         return false;
-    holder.m_held = grant.m_number;
+    holder.m_heldNumber = grant.m_number;
     holder.m_slice = grant.m_amount;
     holder.m_expiry = expiry;
-    holder.m_quietUntil = std::max(holder.m_quietUntil, ask.m_sent + grant.m_quiet);
+    holder.m_fallbackCappedUntil =
+        std::max(holder.m_fallbackCappedUntil, request.m_sent + grant.m_fallbackCap);
     return true;
 }
 
--- a/policy/slice_lender.cpp
+++ b/policy/slice_lender.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-using Lent = SliceLender::Lent;
-using Node = SliceLender::Node;
+using Grant = SliceAllocator::Grant;
+using Node = SliceAllocator::Node;
 
 Duration scaled(Duration duration, double factor)
 {
@@ -16,244 +16,268 @@
         std::chrono::duration<double, Duration::period>(duration) * factor);
 }
 
-Duration longer(const SliceLender &lender, Duration duration)
+Duration lengthened(const SliceAllocator &allocator, Duration duration)
 {
-    return scaled(duration, 1 + lender.m_settings.m_clockDrift);
+    return scaled(duration, 1 + allocator.m_settings.m_clockDrift);
 }
 
-Duration shorter(const SliceLender &lender, Duration duration)
+Duration shortened(const SliceAllocator &allocator, Duration duration)
 {
-    return scaled(duration, 1 - lender.m_settings.m_clockDrift);
+    return scaled(duration, 1 - allocator.m_settings.m_clockDrift);
 }
 
-/// Whether the node uses no more than what it was lent until @p horizon.
-bool quietUntil(const Node &node, TimePoint horizon)
+/// Whether the node uses no more than its granted slices until @p horizon.
+bool isCappedUntil(const Node &node, TimePoint horizon)
 {
-    return node.m_settled && horizon <= node.m_quietUntil;
+    return node.m_fallbackAllowed && horizon <= node.m_fallbackCappedUntil;
 }
 
-/// The most that the node may use by its slices. After a slice's end, a quiet node may still use
-/// as much of its fallback part.
-LimitAmount mostHeld(const SliceLender &lender, const Node &node, bool quiet, TimePoint now)
+/// The largest amount that the node may use because of its slices. After the end of a slice, a
+/// capped node may still use as much of its fallback amount.
+LimitAmount maxHeldAmount(const SliceAllocator &allocator, const Node &node, bool capped,
+                          TimePoint now)
 {
-    LimitAmount most;
-    for (const Lent &lent : node.m_lent) {
-        if (now < lent.m_until)
-            most = largest(most, lent.m_amount);
-        else if (quiet)
-            most = largest(most, smallest(lent.m_amount, lender.m_limits.m_fallback));
+    LimitAmount maxAmount;
+    for (const Grant &grant : node.m_grants) {
+        if (now < grant.m_expiresBy)
+            maxAmount = componentMax(maxAmount, grant.m_amount);
+        else if (capped)
+            maxAmount = componentMax(maxAmount,
+                                     componentMin(grant.m_amount, allocator.m_limits.m_fallback));
     }
-    if (!node.m_lent.empty())
-        most.m_concurrency = std::max(most.m_concurrency, node.m_inUse.m_concurrency);
-    return most;
+    if (!node.m_grants.empty())
+        maxAmount.m_concurrency = std::max(maxAmount.m_concurrency, node.m_inUse.m_concurrency);
+    return maxAmount;
 }
 
-/// What the node may use until @p horizon beyond the fallback parts that boundUntil() counts.
-LimitAmount contribution(const SliceLender &lender, const Node &node, TimePoint now,
-                         TimePoint horizon)
+/// What the node may use until @p horizon in addition to the fallback amounts that maxUseUntil()
+/// counts.
+LimitAmount useBeyondFallback(const SliceAllocator &allocator, const Node &node, TimePoint now,
+                              TimePoint horizon)
 {
-    const bool quiet = quietUntil(node, horizon);
-    const LimitAmount held = mostHeld(lender, node, quiet, now);
-    if (quiet || !node.m_settled)
+    const bool capped = isCappedUntil(node, horizon);
+    const LimitAmount held = maxHeldAmount(allocator, node, capped, now);
+    if (capped || !node.m_fallbackAllowed)
         return held;
-    return largest(held - lender.m_limits.m_fallback, {});
+    return componentMax(held - allocator.m_limits.m_fallback, {});
 }
 
-/// Upper bound of what all nodes may use until @p horizon, if no more is lent.
-LimitAmount boundUntil(const SliceLender &lender, TimePoint now, TimePoint horizon)
+/// Upper bound of what all nodes may use until @p horizon if no more slices are granted.
+LimitAmount maxUseUntil(const SliceAllocator &allocator, TimePoint now, TimePoint horizon)
 {
     LimitAmount sum;
-    uint32_t quiet = 0;
-    for (const auto &[id, node] : lender.m_nodes) {
-        sum = sum + contribution(lender, node, now, horizon);
-        quiet += quietUntil(node, horizon) ? 1 : 0;
+    uint32_t capped = 0;
+    for (const auto &[id, node] : allocator.m_nodes) {
+        sum = sum + useBeyondFallback(allocator, node, now, horizon);
+        capped += isCappedUntil(node, horizon) ? 1 : 0;
     }
-    const uint32_t maxNodes = lender.m_limits.m_maxNodes;
-    return sum + lender.m_limits.m_fallback * (maxNodes - std::min(quiet, maxNodes));
+    const uint32_t maxNodes = allocator.m_limits.m_maxNodes;
+    return sum + allocator.m_limits.m_fallback * (maxNodes - std::min(capped, maxNodes));
 }
 
-void prune(Node &node, TimePoint now)
+/// Removes expired grants, unless they still cap the node's fallback amount.
+void removeExpiredGrants(Node &node, TimePoint now)
 {
-    if (now < node.m_quietUntil)
+    if (now < node.m_fallbackCappedUntil)
         return;
-    std::erase_if(node.m_lent, [now](const Lent &lent) { return now >= lent.m_until; });
+    std::erase_if(node.m_grants, [now](const Grant &grant) { return now >= grant.m_expiresBy; });
 }
 
-/// The node says which slice it holds, so it uses no earlier one any more.
-void acknowledge(Node &node, uint64_t held)
+/// Removes the grants before the one that the node holds: it no longer uses them.
+void removeSupersededGrants(Node &node, uint64_t heldNumber)
 {
-    const auto found = std::find_if(node.m_lent.begin(), node.m_lent.end(),
-                                    [held](const Lent &lent) { return lent.m_number == held; });
-    if (found == node.m_lent.end())
+    const auto found =
+        std::find_if(node.m_grants.begin(), node.m_grants.end(),
+                     [heldNumber](const Grant &grant) { return grant.m_number == heldNumber; });
+    if (found == node.m_grants.end())
         return;
-    node.m_quietUntil = std::max(node.m_quietUntil, found->m_quietUntil);
-    std::erase_if(node.m_lent, [held](const Lent &lent) { return lent.m_number < held; });
+    node.m_fallbackCappedUntil = std::max(node.m_fallbackCappedUntil, found->m_fallbackCappedUntil);
+    std::erase_if(node.m_grants,
+                  [heldNumber](const Grant &grant) { return grant.m_number < heldNumber; });
 }
 
-/// Another may have lent in the meantime, so no node is bound to what it was lent here.
-void distrustNodes(SliceLender &lender, TimePoint now)
+/// Discards all fallback caps: another steward may have granted slices in the meantime, which would
+/// replace the caps of those granted here.
+void dropFallbackCaps(SliceAllocator &allocator, TimePoint now)
 {
-    for (auto &[id, node] : lender.m_nodes) {
-        node.m_quietUntil = {};
-        for (Lent &lent : node.m_lent)
-            lent.m_quietUntil = {};
-        prune(node, now);
+    for (auto &[id, node] : allocator.m_nodes) {
+        node.m_fallbackCappedUntil = {};
+        for (Grant &grant : node.m_grants)
+            grant.m_fallbackCappedUntil = {};
+        removeExpiredGrants(node, now);
     }
 }
 
-bool isActive(const SliceLender &lender, const Node &node, TimePoint now)
+bool isActive(const SliceAllocator &allocator, const Node &node, TimePoint now)
 {
-    return now - node.m_heard < lender.m_settings.m_ttl;
+    return now - node.m_lastRequestAt < allocator.m_settings.m_ttl;
 }
 
-/// One node's wish, for splitting a limit.
-struct Wish {
+/// One node's entry when an amount is split by weight.
+struct SplitEntry {
     SliceNodeId m_node;
     double m_weight = 0;
-    double m_whole = 0; ///< Whole units so far.
-    double m_rest = 0;
+    double m_wholeUnits = 0; ///< Exact share, rounded down.
+    double m_remainder = 0;
 };
 
-/// The part of @p total in whole units that is due to @p node: units left over by rounding go to
-/// the largest remainders.
-double wholeUnits(std::vector<Wish> wishes, double total, const SliceNodeId &node)
+/// The share of @p node when @p total is split by weight in whole units; the units that rounding
+/// leaves go to the nodes with the largest remainders.
+double largestRemainderShare(std::vector<SplitEntry> entries, double total, const SliceNodeId &node)
 {
     double sum = 0;
-    for (const Wish &wish : wishes)
-        sum += wish.m_weight;
-    double left = std::floor(total);
-    for (Wish &wish : wishes) {
-        const double exact = total * wish.m_weight / sum;
-        wish.m_whole = std::floor(exact);
-        wish.m_rest = exact - wish.m_whole;
-        left -= wish.m_whole;
+    for (const SplitEntry &entry : entries)
+        sum += entry.m_weight;
+    double remaining = std::floor(total);
+    for (SplitEntry &entry : entries) {
+        const double exact = total * entry.m_weight / sum;
+        entry.m_wholeUnits = std::floor(exact);
+        entry.m_remainder = exact - entry.m_wholeUnits;
+        remaining -= entry.m_wholeUnits;
     }
-    std::stable_sort(wishes.begin(), wishes.end(),
-                     [](const Wish &a, const Wish &b) { return a.m_rest > b.m_rest; });
-    for (size_t i = 0; i < wishes.size(); ++i) {
-        if (wishes[i].m_node == node)
-            return wishes[i].m_whole + (static_cast<double>(i) < left ? 1 : 0);
+    std::stable_sort(entries.begin(), entries.end(), [](const SplitEntry &a, const SplitEntry &b) {
+        return a.m_remainder > b.m_remainder;
+    });
+    for (size_t i = 0; i < entries.size(); ++i) {
+        if (entries[i].m_node == node)
+            return entries[i].m_wholeUnits + (static_cast<double>(i) < remaining ? 1 : 0);
     }
     return 0;
 }
 
-/// What demand gives to @p wanted if every node took its part at once.
-LimitAmount targetFor(const SliceLender &lender, const SliceNodeId &wanted, TimePoint now)
+/// The share of @p wanted if the limit were split now by the demand of all active nodes.
+LimitAmount targetAmount(const SliceAllocator &allocator, const SliceNodeId &wanted, TimePoint now)
 {
     double active = 0;
-    for (const auto &[id, node] : lender.m_nodes)
-        active += isActive(lender, node, now) ? 1 : 0;
-    const double silent = std::max(0.0, lender.m_limits.m_maxNodes - active);
+    for (const auto &[id, node] : allocator.m_nodes)
+        active += isActive(allocator, node, now) ? 1 : 0;
+    const double silentNodes = std::max(0.0, allocator.m_limits.m_maxNodes - active);
     const LimitAmount total =
-        largest(lender.m_limits.m_total - lender.m_limits.m_fallback * silent, {});
-    const LimitAmount idle = total * (lender.m_settings.m_idleWeight / active);
+        componentMax(allocator.m_limits.m_total - allocator.m_limits.m_fallback * silentNodes, {});
+    const LimitAmount idle = total * (allocator.m_settings.m_idleWeight / active);
 
     LimitAmount sum;
     LimitAmount own;
-    std::vector<Wish> wishes;
-    for (const auto &[id, node] : lender.m_nodes) {
-        if (!isActive(lender, node, now))
+    std::vector<SplitEntry> entries;
+    for (const auto &[id, node] : allocator.m_nodes) {
+        if (!isActive(allocator, node, now))
             continue;
-        const LimitAmount weight = largest(node.m_demand, {}) + idle;
+        const LimitAmount weight = componentMax(node.m_demand, {}) + idle;
         sum = sum + weight;
         own = id == wanted ? weight : own;
-        wishes.push_back({ id, weight.m_concurrency, 0, 0 });
+        entries.push_back({ id, weight.m_concurrency, 0, 0 });
     }
     LimitAmount target;
     if (sum.m_tokensPerSecond > 0)
         target.m_tokensPerSecond =
             total.m_tokensPerSecond * own.m_tokensPerSecond / sum.m_tokensPerSecond;
     if (sum.m_concurrency > 0)
-        target.m_concurrency = wholeUnits(std::move(wishes), total.m_concurrency, wanted);
+        target.m_concurrency =
+            largestRemainderShare(std::move(entries), total.m_concurrency, wanted);
     return target;
 }
 
-/// The most that the node may be lent so that the sum holds until every slice's end.
-LimitAmount availableFor(const SliceLender &lender, const Node &node, TimePoint now)
+/// The largest amount that the node may be granted so that the limit holds until the end of every
+/// slice.
+LimitAmount availableAmount(const SliceAllocator &allocator, const Node &node, TimePoint now)
 {
-    const TimePoint horizon = now + longer(lender, lender.m_settings.m_ttl);
-    const LimitAmount own = contribution(lender, node, now, horizon);
-    LimitAmount available = lender.m_limits.m_total - (boundUntil(lender, now, horizon) - own);
-    if (node.m_settled && !quietUntil(node, horizon))
-        available = available + lender.m_limits.m_fallback;
-    return largest(available, {});
+    const TimePoint horizon = now + lengthened(allocator, allocator.m_settings.m_ttl);
+    const LimitAmount own = useBeyondFallback(allocator, node, now, horizon);
+    LimitAmount available =
+        allocator.m_limits.m_total - (maxUseUntil(allocator, now, horizon) - own);
+    if (node.m_fallbackAllowed && !isCappedUntil(node, horizon))
+        available = available + allocator.m_limits.m_fallback;
+    return componentMax(available, {});
 }
 
 } // namespace
 
-LimitAmount boundOnUse(const SliceLender &lender, TimePoint now)
+LimitAmount maxUse(const SliceAllocator &allocator, TimePoint now)
 {
-    return boundUntil(lender, now, now);
+    return maxUseUntil(allocator, now, now);
 }
 
-void beginLending(SliceLender &lender, TimePoint tenureUntil,
-                  const std::vector<LentSlice> &handedOver, TimePoint asked, TimePoint now)
+void startAllocating(SliceAllocator &allocator, TimePoint leaseUntil,
+                     const std::vector<OutstandingSlice> &handedOver, TimePoint requestedAt,
+                     TimePoint now)
 {
-    if (now >= lender.m_tenureUntil)
-        distrustNodes(lender, now);
-    lender.m_tenureUntil = tenureUntil;
-    for (const LentSlice &slice : handedOver) {
-        Node &node = lender.m_nodes[slice.m_node];
-        node.m_lent.push_back(
-            { slice.m_number, slice.m_amount, now + longer(lender, slice.m_left), {} });
+    if (now >= allocator.m_leaseUntil)
+        dropFallbackCaps(allocator, now);
+    allocator.m_leaseUntil = leaseUntil;
+    for (const OutstandingSlice &slice : handedOver) {
+        Node &node = allocator.m_nodes[slice.m_node];
+        node.m_grants.push_back(
+            { slice.m_number, slice.m_amount, now + lengthened(allocator, slice.m_remaining), {} });
         node.m_lastNumber = std::max(node.m_lastNumber, slice.m_number);
-        node.m_settled = slice.m_settled;
-        node.m_quietUntil = std::max(node.m_quietUntil, asked + shorter(lender, slice.m_quietLeft));
+        node.m_fallbackAllowed = slice.m_fallbackAllowed;
+        node.m_fallbackCappedUntil =
+            std::max(node.m_fallbackCappedUntil,
+                     requestedAt + shortened(allocator, slice.m_fallbackCapRemaining));
     }
 }
 
-std::vector<LentSlice> stopLending(SliceLender &lender, TimePoint now)
+std::vector<OutstandingSlice> stopAllocating(SliceAllocator &allocator, TimePoint now)
 {
-    std::vector<LentSlice> slices;
-    for (auto &[id, node] : lender.m_nodes) {
-        prune(node, now);
-        const Duration quietLeft = std::max(node.m_quietUntil - now, Duration{});
-        for (const Lent &lent : node.m_lent) {
-            const Duration left = std::max(lent.m_until - now, Duration{});
-            slices.push_back({ id, lent.m_number, lent.m_amount, left, node.m_settled, quietLeft });
+    std::vector<OutstandingSlice> slices;
+    for (auto &[id, node] : allocator.m_nodes) {
+        removeExpiredGrants(node, now);
+        const Duration fallbackCapRemaining =
+            std::max(node.m_fallbackCappedUntil - now, Duration{});
+        for (const Grant &grant : node.m_grants) {
+            const Duration remaining = std::max(grant.m_expiresBy - now, Duration{});
+            slices.push_back({ id, grant.m_number, grant.m_amount, remaining,
+                               node.m_fallbackAllowed, fallbackCapRemaining });
         }
     }
-    lender.m_nodes.clear();
-    lender.m_tenureUntil = {};
+    allocator.m_nodes.clear();
+    allocator.m_leaseUntil = {};
     return slices;
 }
 
-std::optional<SliceGrant> receiveAsk(SliceLender &lender, const SliceAsk &ask, TimePoint now)
+std::optional<SliceGrant> receiveSliceRequest(SliceAllocator &allocator,
+                                              const SliceRequest &request, TimePoint now)
 {
-    const Duration tenureLeft = shorter(lender, lender.m_tenureUntil - now);
-    const Duration ttl = std::min(lender.m_settings.m_ttl, tenureLeft);
-    if (now >= lender.m_tenureUntil || ttl < lender.m_settings.m_shortestTtl)
+    const Duration leaseRemaining = shortened(allocator, allocator.m_leaseUntil - now);
+    const Duration ttl = std::min(allocator.m_settings.m_ttl, leaseRemaining);
+    if (now >= allocator.m_leaseUntil || ttl < allocator.m_settings.m_minTtl)
         return std::nullopt;
-    Node &node = lender.m_nodes[ask.m_node];
-    if (ask.m_number <= node.m_lastNumber)
+    Node &node = allocator.m_nodes[request.m_node];
+    if (request.m_number <= node.m_lastNumber)
         return std::nullopt;
-    prune(node, now);
-    acknowledge(node, ask.m_held);
-    node.m_lastNumber = ask.m_number;
-    node.m_settled = ask.m_settled;
-    node.m_demand = ask.m_demand;
-    node.m_inUse = ask.m_inUse;
-    node.m_heard = now;
+    removeExpiredGrants(node, now);
+    removeSupersededGrants(node, request.m_heldNumber);
+    node.m_lastNumber = request.m_number;
+    node.m_fallbackAllowed = request.m_fallbackAllowed;
+    node.m_demand = request.m_demand;
+    node.m_inUse = request.m_inUse;
+    node.m_lastRequestAt = now;
 
-    const LimitAmount target = targetFor(lender, ask.m_node, now);
-    LimitAmount amount = smallest(target, availableFor(lender, node, now));
+    const LimitAmount target = targetAmount(allocator, request.m_node, now);
+    LimitAmount amount = componentMin(target, availableAmount(allocator, node, now));
     amount.m_concurrency = std::floor(amount.m_concurrency);
-    Lent lent{ ask.m_number, amount, now + longer(lender, ttl), {} };
-    if (ask.m_echoTerm == lender.m_term)
-        lent.m_quietUntil = ask.m_echo + shorter(lender, lender.m_settings.m_quiet);
-    node.m_lent.push_back(lent);
-    return SliceGrant{ ask.m_customer, ask.m_node, ask.m_number,
-                       amount,         ttl,        lender.m_settings.m_quiet,
-                       lender.m_term,  now };
+    Grant grant{ request.m_number, amount, now + lengthened(allocator, ttl), {} };
+    if (request.m_echoedTerm == allocator.m_term)
+        grant.m_fallbackCappedUntil =
+            request.m_echoedTimestamp + shortened(allocator, allocator.m_settings.m_fallbackCap);
+    node.m_grants.push_back(grant);
+    return SliceGrant{ request.m_customer,
+                       request.m_node,
+                       request.m_number,
+                       amount,
+                       ttl,
+                       allocator.m_settings.m_fallbackCap,
+                       allocator.m_term,
+                       now };
 }
 
-void forgetIdleNodes(SliceLender &lender, TimePoint now)
+void removeIdleNodes(SliceAllocator &allocator, TimePoint now)
 {
-    for (auto &[id, node] : lender.m_nodes)
-        prune(node, now);
-    std::erase_if(lender.m_nodes, [&](const auto &entry) {
+    for (auto &[id, node] : allocator.m_nodes)
+        removeExpiredGrants(node, now);
+    std::erase_if(allocator.m_nodes, [&](const auto &entry) {
         const Node &node = entry.second;
-        return node.m_lent.empty() && now >= node.m_quietUntil && !isActive(lender, node, now);
+        return node.m_grants.empty() && now >= node.m_fallbackCappedUntil
+               && !isActive(allocator, node, now);
     });
 }
 
--- a/policy/tenure.cpp
+++ b/policy/tenure.cpp
@@ -12,107 +12,112 @@
         std::chrono::duration<double, Duration::period>(duration) * factor);
 }
 
-void see(Tenure &tenure, uint64_t version, const TenureRecord &record, TimePoint now)
+/// Stores the record of a version that is newer than the latest known one.
+void recordVersion(LeaderLease &lease, uint64_t version, const LeaderLeaseRecord &record,
+                   TimePoint now)
 {
-    if (tenure.m_observed && version <= tenure.m_version)
+    if (lease.m_observed && version <= lease.m_version)
         return;
-    tenure.m_observed = true;
-    tenure.m_version = version;
-    tenure.m_record = record;
-    tenure.m_firstSeen = now;
-    tenure.m_received = false;
+    lease.m_observed = true;
+    lease.m_version = version;
+    lease.m_record = record;
+    lease.m_firstSeen = now;
+    lease.m_receivedByHandover = false;
 }
 
-bool isOwn(const Tenure &tenure, const TenureRecord &record)
+bool isOwn(const LeaderLease &lease, const LeaderLeaseRecord &record)
 {
-    return record.m_holder == tenure.m_self && record.m_incarnation == tenure.m_incarnation
-           && record.m_writeId > tenure.m_handedOverWriteId;
+    return record.m_holder == lease.m_self && record.m_incarnation == lease.m_incarnation
+           && record.m_writeId > lease.m_handedOverWriteId;
 }
 
-/// Whether nobody else can have time left from the version last seen.
-bool mayWrite(const Tenure &tenure, TimePoint now)
+/// Whether no other VM can still hold the lease by the latest known version.
+bool mayWrite(const LeaderLease &lease, TimePoint now)
 {
-    if (tenure.m_version == 0)
+    if (lease.m_version == 0)
         return true;
-    // Once the received time is over, what came with it may be out of date.
-    if (tenure.m_received && holdsTenure(tenure, now))
+    // After the handed-over time has passed, the record that came with it may be out of date.
+    if (lease.m_receivedByHandover && holdsLeaderLease(lease, now))
         return true;
-    if (isOwn(tenure, tenure.m_record))
+    if (isOwn(lease, lease.m_record))
         return true;
-    const Duration wait = scaled(tenure.m_settings.m_length, 1 + tenure.m_settings.m_clockDrift);
-    return now >= tenure.m_firstSeen + wait;
+    const Duration wait = scaled(lease.m_settings.m_duration, 1 + lease.m_settings.m_clockDrift);
+    return now >= lease.m_firstSeen + wait;
 }
 
 } // namespace
 
-bool holdsTenure(const Tenure &tenure, TimePoint now)
+bool holdsLeaderLease(const LeaderLease &lease, TimePoint now)
 {
-    return now < tenure.m_until;
+    return now < lease.m_heldUntil;
 }
 
-void observeTenure(Tenure &tenure, uint64_t version, const TenureRecord &record, TimePoint now)
+void observeLeaderLease(LeaderLease &lease, uint64_t version, const LeaderLeaseRecord &record,
+                        TimePoint now)
 {
-    if (tenure.m_pending && record == tenure.m_pending->m_record) {
-        tenureWritten(tenure, record.m_writeId, version, now);
+    if (lease.m_pendingWrite && record == lease.m_pendingWrite->m_record) {
+        confirmLeaderLeaseWrite(lease, record.m_writeId, version, now);
         return;
     }
-    if (version > tenure.m_version && !isOwn(tenure, record))
-        tenure.m_until = {};
-    see(tenure, version, record, now);
-    tenure.m_pending.reset();
+    if (version > lease.m_version && !isOwn(lease, record))
+        lease.m_heldUntil = {};
+    recordVersion(lease, version, record, now);
+    lease.m_pendingWrite.reset();
 }
 
-std::optional<TenureWrite> beginTenureWrite(Tenure &tenure, TimePoint now)
+std::optional<LeaderLeaseWrite> beginLeaderLeaseWrite(LeaderLease &lease, TimePoint now)
 {
-    if (!tenure.m_observed || tenure.m_pending || !mayWrite(tenure, now))
+    if (!lease.m_observed || lease.m_pendingWrite || !mayWrite(lease, now))
         return std::nullopt;
     const bool renewalDue =
-        now + tenure.m_settings.m_length >= tenure.m_until + tenure.m_settings.m_renewEvery;
-    if (holdsTenure(tenure, now) && !renewalDue)
+        now + lease.m_settings.m_duration >= lease.m_heldUntil + lease.m_settings.m_renewInterval;
+    if (holdsLeaderLease(lease, now) && !renewalDue)
         return std::nullopt;
-    tenure.m_lastWriteId += 1;
-    const TenureRecord record{ tenure.m_self, tenure.m_incarnation, tenure.m_lastWriteId };
-    tenure.m_pending = TenureWrite{ tenure.m_version, record };
-    tenure.m_pendingSince = now;
-    return tenure.m_pending;
+    lease.m_lastWriteId += 1;
+    const LeaderLeaseRecord record{ lease.m_self, lease.m_incarnation, lease.m_lastWriteId };
+    lease.m_pendingWrite = LeaderLeaseWrite{ lease.m_version, record };
+    lease.m_pendingSince = now;
+    return lease.m_pendingWrite;
 }
 
-void tenureWritten(Tenure &tenure, uint64_t writeId, uint64_t version, TimePoint now)
+void confirmLeaderLeaseWrite(LeaderLease &lease, uint64_t writeId, uint64_t version, TimePoint now)
 {
-    if (!tenure.m_pending || tenure.m_pending->m_record.m_writeId != writeId)
+    if (!lease.m_pendingWrite || lease.m_pendingWrite->m_record.m_writeId != writeId)
         return;
-    const TenureRecord record = tenure.m_pending->m_record;
-    tenure.m_pending.reset();
-    see(tenure, version, record, now);
-    tenure.m_until = std::max(tenure.m_until, tenure.m_pendingSince + tenure.m_settings.m_length);
+    const LeaderLeaseRecord record = lease.m_pendingWrite->m_record;
+    lease.m_pendingWrite.reset();
+    recordVersion(lease, version, record, now);
+    lease.m_heldUntil =
+        std::max(lease.m_heldUntil, lease.m_pendingSince + lease.m_settings.m_duration);
 }
 
-void tenureRefused(Tenure &tenure)
+void rejectLeaderLeaseWrite(LeaderLease &lease)
 {
-    tenure.m_pending.reset();
+    lease.m_pendingWrite.reset();
 }
 
-std::optional<TenureHandover> handOverTenure(Tenure &tenure, TimePoint now)
+std::optional<LeaderLeaseHandover> handOverLeaderLease(LeaderLease &lease, TimePoint now)
 {
-    if (!holdsTenure(tenure, now))
+    if (!holdsLeaderLease(lease, now))
         return std::nullopt;
-    const TenureHandover handover{ tenure.m_version, tenure.m_record, tenure.m_until - now };
-    tenure.m_until = {};
-    tenure.m_handedOverWriteId = tenure.m_lastWriteId;
-    tenure.m_received = false;
-    tenure.m_pending.reset();
+    const LeaderLeaseHandover handover{ lease.m_version, lease.m_record, lease.m_heldUntil - now };
+    lease.m_heldUntil = {};
+    lease.m_handedOverWriteId = lease.m_lastWriteId;
+    lease.m_receivedByHandover = false;
+    lease.m_pendingWrite.reset();
     return handover;
 }
 
-void receiveTenure(Tenure &tenure, const TenureHandover &handover, TimePoint asked, TimePoint now)
+void receiveLeaderLease(LeaderLease &lease, const LeaderLeaseHandover &handover,
+                        TimePoint requestedAt, TimePoint now)
 {
-    if (tenure.m_observed && handover.m_version < tenure.m_version)
+    if (lease.m_observed && handover.m_version < lease.m_version)
         return;
-    see(tenure, handover.m_version, handover.m_record, now);
-    tenure.m_pending.reset();
-    tenure.m_received = true;
-    const Duration left = scaled(handover.m_left, 1 - tenure.m_settings.m_clockDrift);
-    tenure.m_until = std::max(tenure.m_until, asked + left);
+    recordVersion(lease, handover.m_version, handover.m_record, now);
+    lease.m_pendingWrite.reset();
+    lease.m_receivedByHandover = true;
+    const Duration remaining = scaled(handover.m_remaining, 1 - lease.m_settings.m_clockDrift);
+    lease.m_heldUntil = std::max(lease.m_heldUntil, requestedAt + remaining);
 }
 
 } // namespace stackquay
--- a/tests/policy/limit_shares_test.cpp
+++ b/tests/policy/limit_shares_test.cpp
@@ -14,7 +14,7 @@
 const LimitAmount Total{ 900, 31 };
 constexpr size_t NodesEach = 3;
 
-/// Data centres that read, plan and acknowledge at random, from tables of any age.
+/// Simulates data centres that read, plan and acknowledge in random order, with tables of any age.
 class ShareSim
 {
 public:
@@ -30,18 +30,18 @@
         m_tables.push_back(makeShareTable(TheCustomer, Total, DataCentres));
     }
 
-    /// One action of one data centre. One that is cut off sees nothing new and writes nothing.
+    /// Runs one action of one data centre. A disconnected one neither reads nor writes the store.
     void step(bool faults)
     {
         const size_t at = m_random() % DataCentres.size();
         if (faults && m_random() % 200 == 0)
-            m_cut = m_random() % (DataCentres.size() + 1);
+            m_disconnected = m_random() % (DataCentres.size() + 1);
         if (!faults)
-            m_cut = DataCentres.size();
+            m_disconnected = DataCentres.size();
         if (faults && m_random() % 20 == 0)
             m_demand[at] = { static_cast<double>(m_random() % 1'000),
                              static_cast<double>(m_random() % 30) };
-        if (at == m_cut)
+        if (at == m_disconnected)
             return;
         switch (m_random() % 6) {
         case 0:
@@ -56,7 +56,8 @@
         case 3:
             return write(m_cached[at], plan(at));
         case 4:
-            return write(m_cached[at], acknowledgeShare(table(at), DataCentres[at], lowest(at)));
+            return write(m_cached[at],
+                         acknowledgeShare(table(at), DataCentres[at], oldestApplied(at)));
         default:
             return write(m_cached[at],
                          reportDemand(m_settings, table(at), DataCentres[at], m_demand[at]));
@@ -69,14 +70,14 @@
         for (const auto &nodes : m_nodes) {
             LimitAmount most;
             for (const AppliedShare &applied : nodes)
-                most = largest(most, applied.m_share);
+                most = componentMax(most, applied.m_share);
             sum = sum + most;
         }
         return sum;
     }
 
     void setDemand(size_t at, const LimitAmount &demand) { m_demand[at] = demand; }
-    void cutOff(size_t at) { m_cut = at; }
+    void disconnect(size_t at) { m_disconnected = at; }
     const ShareTable &latestTable() const { return m_tables.back(); }
     size_t latest() const { return m_tables.size() - 1; }
     void write(uint64_t version, std::optional<ShareTable> changed)
@@ -88,7 +89,7 @@
 private:
     const ShareTable &table(size_t at) const { return m_tables[m_cached[at]]; }
 
-    uint64_t lowest(size_t at) const
+    uint64_t oldestApplied(size_t at) const
     {
         const auto &nodes = m_nodes[at];
         return std::min_element(
@@ -102,14 +103,14 @@
         auto planned = planShares(m_settings, table(at), m_cached[at]);
         if (!m_naive || !planned)
             return planned;
-        // Without waiting for acknowledgements: as if every lower share were in force.
+        // Does not wait for acknowledgements: assumes that nodes apply every lowered share already.
         ShareTable assumed = table(at);
         for (DataCentreShare &share : assumed.m_shares)
-            share.m_inForce = share.m_share;
+            share.m_maxInUse = share.m_share;
         return planShares(m_settings, assumed, m_cached[at]);
     }
 
-    /// A table comes late, from the store or a peer: any that was ever written.
+    /// Applies a table on a random node; with faults, the table may be up to three versions old.
     void applyOnNode(size_t at, bool faults)
     {
         const size_t age = faults ? m_random() % 4 : 0;
@@ -119,8 +120,8 @@
         applyShare(m_nodes[at][node], m_tables[version], version, DataCentres[at]);
     }
 
-    /// A new node's first table answers its own question: it is what a peer applies or the store
-    /// has by then.
+    /// Replaces a node. The new node's first table answers its own request, so it is at least the
+    /// one that a peer applies or that the store has at that time.
     void replaceNode(size_t at, size_t node)
     {
         m_nodes[at][node] = {};
@@ -136,7 +137,7 @@
     std::vector<std::vector<AppliedShare>> m_nodes;
     std::vector<std::vector<size_t>> m_firstVersion;
     std::vector<LimitAmount> m_demand;
-    size_t m_cut = DataCentres.size();
+    size_t m_disconnected = DataCentres.size();
 };
 
 int stepsOverLimit(bool naive, uint64_t seed)
@@ -145,13 +146,13 @@
     int over = 0;
     for (int i = 0; i < 2'000; ++i) {
         sim.step(true);
-        over += fits(sim.sumUsable(), Total) ? 0 : 1;
-        over += naive || fits(boundOnShares(sim.latestTable()), Total) ? 0 : 1;
+        over += fitsWithin(sim.sumUsable(), Total) ? 0 : 1;
+        over += naive || fitsWithin(boundOnShares(sim.latestTable()), Total) ? 0 : 1;
     }
     return over;
 }
 
-TEST(LimitShares, RaisingBeforeTheAcknowledgementExceedsTheLimit)
+TEST(LimitShares, RaisingBeforeAcknowledgementExceedsTheLimit)
 {
     int violated = 0;
     for (uint64_t seed = 0; seed < 100; ++seed)
@@ -182,11 +183,11 @@
         const size_t settled = sim.latest();
         for (int i = 0; i < 500; ++i)
             sim.step(false);
-        EXPECT_EQ(sim.latest(), settled) << "writes without need, seed " << seed;
+        EXPECT_EQ(sim.latest(), settled) << "unnecessary writes, seed " << seed;
     }
 }
 
-TEST(LimitShares, OneThatIsCutOffKeepsItsShare)
+TEST(LimitShares, DisconnectedDataCentreKeepsItsShare)
 {
     const ShareSettings settings;
     ShareTable table = makeShareTable(TheCustomer, Total, DataCentres);
@@ -194,7 +195,7 @@
     table = *planShares(settings, table, 2);
     const DataCentreShare &lowered = *findShare(table, DataCentres[0]);
     EXPECT_LT(lowered.m_share.m_tokensPerSecond, 100);
-    EXPECT_EQ(lowered.m_inForce.m_tokensPerSecond, 300);
+    EXPECT_EQ(lowered.m_maxInUse.m_tokensPerSecond, 300);
     EXPECT_EQ(findShare(table, DataCentres[1])->m_share.m_tokensPerSecond, 300);
     EXPECT_FALSE(planShares(settings, table, 3));
 
@@ -202,24 +203,24 @@
     table = *acknowledgeShare(table, DataCentres[0], 3);
     table = *planShares(settings, table, 4);
     EXPECT_GT(findShare(table, DataCentres[1])->m_share.m_tokensPerSecond, 500);
-    EXPECT_TRUE(fits(boundOnShares(table), Total));
+    EXPECT_TRUE(fitsWithin(boundOnShares(table), Total));
 }
 
-TEST(LimitShares, IntentMayLowerTheTotalAndRemoveADataCentre)
+TEST(LimitShares, IntentLowersTheTotalAndRemovesADataCentre)
 {
     const ShareSettings settings;
     const LimitAmount half = Total * 0.5;
     const std::vector<DataCentreId> two(DataCentres.begin(), DataCentres.begin() + 2);
     ShareTable table = makeShareTable(TheCustomer, Total, DataCentres);
-    table = *followIntent(table, half, two, 1);
+    table = *applyIntent(table, half, two, 1);
     table = *planShares(settings, table, 2);
     EXPECT_EQ(table.m_shares.size(), 3U);
     for (const DataCentreId &id : DataCentres) {
         if (auto acknowledged = acknowledgeShare(table, id, 3))
             table = *acknowledged;
     }
-    EXPECT_TRUE(fits(boundOnShares(table), half));
-    table = *followIntent(table, half, two, 6);
+    EXPECT_TRUE(fitsWithin(boundOnShares(table), half));
+    table = *applyIntent(table, half, two, 6);
     EXPECT_EQ(findShare(table, DataCentres[2]), nullptr);
     if (auto planned = planShares(settings, table, 7))
         table = *planned;
--- a/tests/policy/limit_slices_test.cpp
+++ b/tests/policy/limit_slices_test.cpp
@@ -5,16 +5,18 @@
 namespace stackquay {
 namespace {
 
-/// Faults of one schedule; each kind is absent in some of them.
+/// Random faults for one run; each kind of fault is absent in some of the runs.
 SliceFaults randomFaults(uint64_t seed)
 {
     RandomEngine random(seed * 7'919 + 1);
     std::uniform_real_distribution<double> uniform(0, 1);
-    const auto pick = [&](double most) { return random() % 3 == 0 ? 0 : most * uniform(random); };
+    const auto pick = [&](double maxValue) {
+        return random() % 3 == 0 ? 0 : maxValue * uniform(random);
+    };
     SliceFaults faults;
     faults.m_loss = pick(0.4);
-    faults.m_repeat = pick(0.4);
-    faults.m_late = pick(0.3);
+    faults.m_duplicate = pick(0.4);
+    faults.m_delayed = pick(0.3);
     faults.m_pausesPerSecond = pick(0.05);
     faults.m_deathsPerSecond = pick(0.05);
     faults.m_viewChangesPerSecond = pick(0.5);
@@ -35,14 +37,14 @@
     return violated;
 }
 
-TEST(LimitSlices, NaiveLendingExceedsTheLimit)
+TEST(LimitSlices, NaiveGrantsExceedTheLimit)
 {
     EXPECT_GT(schedulesWithViolations(SliceVariant::Naive, 200), 20);
 }
 
-TEST(LimitSlices, WaitingInPlaceOfTheTenureExceedsTheLimit)
+TEST(LimitSlices, WaitingInsteadOfALeaseExceedsTheLimit)
 {
-    EXPECT_GT(schedulesWithViolations(SliceVariant::WaitOnly, 200), 0);
+    EXPECT_GT(schedulesWithViolations(SliceVariant::WaitInsteadOfLease, 200), 0);
 }
 
 TEST(LimitSlices, SumNeverExceedsTheLimitInAnySchedule)
@@ -54,7 +56,7 @@
     }
 }
 
-TEST(LimitSlices, TheWholeLimitIsLentByDemandWhenAllIsWell)
+TEST(LimitSlices, WholeLimitIsGrantedByDemandWithoutFaults)
 {
     SliceSim sim(SliceVariant::Real, {}, 1);
     for (size_t slot = 0; slot < SliceSim::NodeCount; ++slot)
@@ -74,7 +76,7 @@
     EXPECT_EQ(sim.violations(), 0);
 }
 
-TEST(LimitSlices, EqualPartsWithoutAStewardAndRecovery)
+TEST(LimitSlices, FallbackAmountsInAStoreOutageAndRecovery)
 {
     SliceSim sim(SliceVariant::Real, {}, 2);
     sim.run(40);
@@ -89,15 +91,15 @@
     EXPECT_EQ(sim.violations(), 0);
 }
 
-TEST(LimitSlices, AnotherTakesOverFromADeadSteward)
+TEST(LimitSlices, AnotherProcessReplacesADeadSteward)
 {
     SliceSim sim(SliceVariant::Real, {}, 3);
     sim.run(40);
-    EXPECT_EQ(sim.lendingSlot(), 0U);
+    EXPECT_EQ(sim.allocatingSlot(), 0U);
     sim.kill(0);
     sim.setView(1);
     sim.run(40);
-    EXPECT_EQ(sim.lendingSlot(), 1U);
+    EXPECT_EQ(sim.allocatingSlot(), 1U);
     EXPECT_GE(sim.sumUsable().m_tokensPerSecond, 0.99 * sim.m_limit.m_tokensPerSecond);
     EXPECT_EQ(sim.violations(), 0);
 }
@@ -112,12 +114,12 @@
         sim.run(0.1);
         least = std::min(least, sim.sumUsable().m_tokensPerSecond);
     }
-    EXPECT_EQ(sim.lendingSlot(), 2U);
+    EXPECT_EQ(sim.allocatingSlot(), 2U);
     EXPECT_GE(least, 0.5 * sim.m_limit.m_tokensPerSecond);
     EXPECT_EQ(sim.violations(), 0);
 }
 
-TEST(LimitSlices, AClockThatDriftsMoreThanAllowedIsNoticedByTheCheck)
+TEST(LimitSlices, ExcessiveClockDriftExceedsTheLimit)
 {
     int violated = 0;
     for (uint64_t seed = 0; seed < 300; ++seed) {
--- a/tests/policy/slice_sim.cpp
+++ b/tests/policy/slice_sim.cpp
@@ -21,10 +21,10 @@
     , m_demand(NodeCount)
 {
     m_settings.m_ttl = Seconds(5);
-    m_settings.m_askEvery = Seconds(1);
-    m_settings.m_quiet = Seconds(13);
-    m_tenureSettings.m_length = Seconds(10);
-    m_tenureSettings.m_renewEvery = Seconds(3);
+    m_settings.m_requestInterval = Seconds(1);
+    m_settings.m_fallbackCap = Seconds(13);
+    m_leaseSettings.m_duration = Seconds(10);
+    m_leaseSettings.m_renewInterval = Seconds(3);
     m_limits = makeSliceLimits(m_limit, Reserved, NodeCount);
     for (size_t slot = 0; slot < NodeCount; ++slot) {
         m_demand[slot] = { uniform(0, 700), std::floor(uniform(0, 15)) };
@@ -53,7 +53,8 @@
     m_events.push({ time, ++m_order, std::move(run) });
 }
 
-/// Runs @p handler in a process unless it is dead by then; waits while it is paused.
+/// Runs @p handler in the process after the delay, or when its pause ends; not at all if the
+/// process has died by then.
 void SliceSim::deliver(size_t slot, uint64_t id, double delay, Handler handler)
 {
     at(m_now + delay, [this, slot, id, handler = std::move(handler)] {
@@ -68,7 +69,7 @@
 
 double SliceSim::messageDelay()
 {
-    if (chance(m_faults.m_late))
+    if (chance(m_faults.m_delayed))
         return uniform(0, m_faults.m_longestDelay);
     return uniform(0.0005, 0.05);
 }
@@ -78,7 +79,7 @@
     const uint64_t id = m_slots[slot]->m_id;
     if (chance(m_faults.m_loss))
         return;
-    if (chance(m_faults.m_repeat))
+    if (chance(m_faults.m_duplicate))
         deliver(slot, id, messageDelay(), handler);
     deliver(slot, id, messageDelay(), std::move(handler));
 }
@@ -98,13 +99,13 @@
     process.m_holder.m_node = node;
     process.m_holder.m_fallback = m_limits.m_fallback;
     process.m_holder.m_started = now;
-    process.m_lender.m_settings = m_settings;
-    process.m_lender.m_customer = TheCustomer;
-    process.m_lender.m_term = { vm, process.m_id };
-    process.m_lender.m_limits = m_limits;
-    process.m_tenure.m_settings = m_tenureSettings;
-    process.m_tenure.m_self = vm;
-    process.m_tenure.m_incarnation = process.m_id;
+    process.m_allocator.m_settings = m_settings;
+    process.m_allocator.m_customer = TheCustomer;
+    process.m_allocator.m_term = { vm, process.m_id };
+    process.m_allocator.m_limits = m_limits;
+    process.m_lease.m_settings = m_leaseSettings;
+    process.m_lease.m_self = vm;
+    process.m_lease.m_incarnation = process.m_id;
     process.m_view = m_commonView;
     process.m_viewSince = now;
     deliver(slot, process.m_id, uniform(0, 1),
@@ -130,7 +131,7 @@
 
 void SliceSim::check()
 {
-    if (!fits(sumUsable(), m_limit))
+    if (!fitsWithin(sumUsable(), m_limit))
         m_violations += 1;
     at(m_now + 0.1, [this] { check(); });
 }
@@ -152,11 +153,11 @@
     return sum;
 }
 
-std::optional<size_t> SliceSim::lendingSlot()
+std::optional<size_t> SliceSim::allocatingSlot()
 {
     for (size_t slot = 0; slot < NodeCount; ++slot) {
         const Process &process = *m_slots[slot];
-        if (process.m_lending && holdsTenure(process.m_tenure, clock(process)))
+        if (process.m_allocating && holdsLeaderLease(process.m_lease, clock(process)))
             return slot;
     }
     return std::nullopt;
@@ -195,43 +196,44 @@
 void SliceSim::stepSteward(size_t slot, Process &process)
 {
     const TimePoint now = clock(process);
-    const bool wantsTo = process.m_view == slot;
+    const bool wantsLease = process.m_view == slot;
     if (m_variant != SliceVariant::Real) {
         const bool waited = now - process.m_viewSince > m_settings.m_ttl;
-        if (wantsTo && waited && !process.m_lending)
-            beginLending(process.m_lender, now + Seconds(100'000), {}, now, now);
-        process.m_lending = wantsTo && waited;
+        if (wantsLease && waited && !process.m_allocating)
+            startAllocating(process.m_allocator, now + Seconds(100'000), {}, now, now);
+        process.m_allocating = wantsLease && waited;
         return;
     }
-    process.m_lending = process.m_lending && holdsTenure(process.m_tenure, now);
-    forgetIdleNodes(process.m_lender, now);
-    if (!wantsTo || process.m_storeBusy)
+    process.m_allocating = process.m_allocating && holdsLeaderLease(process.m_lease, now);
+    removeIdleNodes(process.m_allocator, now);
+    if (!wantsLease || process.m_storeBusy)
         return;
-    if (!process.m_tenure.m_observed || process.m_tenure.m_pending)
+    if (!process.m_lease.m_observed || process.m_lease.m_pendingWrite)
         return readStore(slot, process);
-    if (const auto write = beginTenureWrite(process.m_tenure, now))
+    if (const auto write = beginLeaderLeaseWrite(process.m_lease, now))
         return writeStore(slot, process, *write);
-    if (holdsTenure(process.m_tenure, now))
+    if (holdsLeaderLease(process.m_lease, now))
         return;
     if (chance(0.5))
-        return askHandover(slot, process);
+        return requestHandover(slot, process);
     readStore(slot, process);
 }
 
-void SliceSim::takeTenure(Process &process, const std::vector<LentSlice> &slices)
+void SliceSim::applyLeaderLease(Process &process, const std::vector<OutstandingSlice> &slices)
 {
     const TimePoint now = clock(process);
-    if (!holdsTenure(process.m_tenure, now))
+    if (!holdsLeaderLease(process.m_lease, now))
         return;
-    beginLending(process.m_lender, process.m_tenure.m_until, slices, process.m_askedAt, now);
-    process.m_lending = true;
+    startAllocating(process.m_allocator, process.m_lease.m_heldUntil, slices,
+                    process.m_handoverRequestedAt, now);
+    process.m_allocating = true;
 }
 
 void SliceSim::readStore(size_t slot, Process &process)
 {
     process.m_storeBusy = true;
     const uint64_t id = process.m_id;
-    // The caller's own timeout, after which it tries again.
+    // Timeout of the store client, after which the process tries again.
     deliver(slot, id, 2, [](Process &self) { self.m_storeBusy = false; });
     if (!storeUp())
         return;
@@ -242,13 +244,13 @@
             return;
         deliver(slot, id, messageDelay(), [this, version, record](Process &self) {
             self.m_storeBusy = false;
-            observeTenure(self.m_tenure, version, record, clock(self));
-            takeTenure(self, {});
+            observeLeaderLease(self.m_lease, version, record, clock(self));
+            applyLeaderLease(self, {});
         });
     });
 }
 
-void SliceSim::writeStore(size_t slot, Process &process, const TenureWrite &write)
+void SliceSim::writeStore(size_t slot, Process &process, const LeaderLeaseWrite &write)
 {
     process.m_storeBusy = true;
     const uint64_t id = process.m_id;
@@ -267,42 +269,44 @@
         deliver(slot, id, messageDelay(), [this, write, written, version](Process &self) {
             self.m_storeBusy = false;
             if (written)
-                tenureWritten(self.m_tenure, write.m_record.m_writeId, version, clock(self));
+                confirmLeaderLeaseWrite(self.m_lease, write.m_record.m_writeId, version,
+                                        clock(self));
             else
-                tenureRefused(self.m_tenure);
-            takeTenure(self, {});
+                rejectLeaderLeaseWrite(self.m_lease);
+            applyLeaderLease(self, {});
         });
     });
 }
 
-void SliceSim::askHandover(size_t slot, Process &process)
+void SliceSim::requestHandover(size_t slot, Process &process)
 {
-    // Unique over all processes, as a real question names its process.
-    process.m_askedHandover = ++m_lastQuestion;
-    process.m_askedAt = clock(process);
-    const uint64_t number = process.m_askedHandover;
+    // Unique over all processes, as a real request identifies its process.
+    process.m_handoverRequest = ++m_lastHandoverRequest;
+    process.m_handoverRequestedAt = clock(process);
+    const uint64_t number = process.m_handoverRequest;
     for (size_t other = 0; other < NodeCount; ++other) {
-        if (m_slots[other]->m_tenure.m_self == process.m_tenure.m_record.m_holder || chance(0.1))
-            send(other,
-                 [this, slot, number](Process &holder) { answerHandover(holder, slot, number); });
+        if (m_slots[other]->m_lease.m_self == process.m_lease.m_record.m_holder || chance(0.1))
+            send(other, [this, slot, number](Process &holder) {
+                answerHandoverRequest(holder, slot, number);
+            });
     }
 }
 
-void SliceSim::answerHandover(Process &holder, size_t slot, uint64_t number)
+void SliceSim::answerHandoverRequest(Process &holder, size_t slot, uint64_t number)
 {
     const TimePoint now = clock(holder);
     if (holder.m_view == slot || chance(0.2)) {
-        const auto handover = handOverTenure(holder.m_tenure, now);
+        const auto handover = handOverLeaderLease(holder.m_lease, now);
         if (!handover)
             return;
-        holder.m_lending = false;
-        const auto slices = stopLending(holder.m_lender, now);
+        holder.m_allocating = false;
+        const auto slices = stopAllocating(holder.m_allocator, now);
         send(slot, [this, number, slices, handover = *handover](Process &self) {
-            if (self.m_askedHandover != number)
+            if (self.m_handoverRequest != number)
                 return;
-            self.m_askedHandover = 0;
-            receiveTenure(self.m_tenure, handover, self.m_askedAt, clock(self));
-            takeTenure(self, slices);
+            self.m_handoverRequest = 0;
+            receiveLeaderLease(self.m_lease, handover, self.m_handoverRequestedAt, clock(self));
+            applyLeaderLease(self, slices);
         });
     }
 }
@@ -312,15 +316,16 @@
     const TimePoint now = clock(process);
     const LimitAmount inUse{ 0, std::min(m_demand[slot].m_concurrency,
                                          usableAmount(process.m_holder, now).m_concurrency) };
-    const SliceAsk ask = makeAsk(process.m_holder, m_demand[slot], inUse, now);
-    send(process.m_view, [this, slot, ask](Process &steward) { answerAsk(steward, slot, ask); });
+    const SliceRequest request = makeSliceRequest(process.m_holder, m_demand[slot], inUse, now);
+    send(process.m_view,
+         [this, slot, request](Process &steward) { answerSliceRequest(steward, slot, request); });
 }
 
-void SliceSim::answerAsk(Process &steward, size_t slot, const SliceAsk &ask)
+void SliceSim::answerSliceRequest(Process &steward, size_t slot, const SliceRequest &request)
 {
-    if (!steward.m_lending)
+    if (!steward.m_allocating)
         return;
-    const auto grant = receiveAsk(steward.m_lender, ask, clock(steward));
+    const auto grant = receiveSliceRequest(steward.m_allocator, request, clock(steward));
     if (!grant)
         return;
     send(slot, [this, grant = *grant](Process &node) {
@@ -330,25 +335,27 @@
 
 void SliceSim::stepNaiveNode(size_t slot, Process &process)
 {
-    SliceAsk ask;
-    ask.m_node = process.m_holder.m_node;
-    ask.m_demand = m_demand[slot];
+    SliceRequest request;
+    request.m_node = process.m_holder.m_node;
+    request.m_demand = m_demand[slot];
     send(process.m_view,
-         [this, slot, ask](Process &steward) { answerNaiveAsk(steward, slot, ask); });
+         [this, slot, request](Process &steward) { answerNaiveRequest(steward, slot, request); });
 }
 
-void SliceSim::answerNaiveAsk(Process &steward, size_t slot, const SliceAsk &ask)
+void SliceSim::answerNaiveRequest(Process &steward, size_t slot, const SliceRequest &request)
 {
-    if (!steward.m_lending)
+    if (!steward.m_allocating)
         return;
     const TimePoint now = clock(steward);
-    LimitAmount left = m_limit - m_limits.m_fallback * NodeCount;
-    for (const auto &[node, lent] : steward.m_naiveLent) {
-        if (node != ask.m_node && now < lent.second)
-            left = left - lent.first;
+    LimitAmount remaining = m_limit - m_limits.m_fallback * NodeCount;
+    for (const auto &[node, grant] : steward.m_naiveGrants) {
+        if (node != request.m_node && now < grant.second)
+            remaining = remaining - grant.first;
     }
-    const LimitAmount amount = smallest(largest(left, {}), ask.m_demand) + m_limits.m_fallback;
-    steward.m_naiveLent[ask.m_node] = { amount - m_limits.m_fallback, now + m_settings.m_ttl };
+    const LimitAmount amount =
+        componentMin(componentMax(remaining, {}), request.m_demand) + m_limits.m_fallback;
+    steward.m_naiveGrants[request.m_node] = { amount - m_limits.m_fallback,
+                                              now + m_settings.m_ttl };
     send(slot, [this, amount](Process &node) {
         node.m_naiveSlice = amount;
         node.m_naiveExpiry = clock(node) + m_settings.m_ttl;
--- a/tests/policy/slice_sim.h
+++ b/tests/policy/slice_sim.h
@@ -1,6 +1,6 @@
-/// A simulated data centre for the slices of one customer's limit: processes with drifting clocks
-/// that pause, die and are replaced; messages that are lost, repeated and late; a store with lost
-/// answers and outages; and views that differ on who the steward is.
+/// Simulates the slices of one customer's limit in one data centre: processes with drifting clocks
+/// that pause, die and are replaced; lost, duplicated and delayed messages; a store with lost
+/// answers and outages; and processes that disagree on which one is the steward.
 #pragma once
 
 #include <functional>
@@ -17,17 +17,18 @@
 
 enum class SliceVariant {
     Real,
-    /// Lends whenever its view says so, once a slice's life has passed since the view changed; a
-    /// node counts from the receipt and falls back at once.
+    /// The steward grants slices without a lease, once its view has named it for longer than the
+    /// life of a slice. A node counts that life from receipt and uses its fallback amount at once
+    /// after it.
     Naive,
-    /// As Real, but with that same wait in place of the tenure.
-    WaitOnly,
+    /// As Real, but the steward waits as in Naive instead of holding the leader lease.
+    WaitInsteadOfLease,
 };
 
 struct SliceFaults {
     double m_loss = 0;
-    double m_repeat = 0;
-    double m_late = 0; ///< Fraction of messages that take up to m_longestDelay.
+    double m_duplicate = 0;
+    double m_delayed = 0; ///< Fraction of messages that take up to m_longestDelay.
     double m_longestDelay = 25; ///< Seconds.
     double m_pausesPerSecond = 0; ///< Of each process.
     double m_deathsPerSecond = 0;
@@ -44,20 +45,20 @@
 
     SliceSim(SliceVariant variant, const SliceFaults &faults, uint64_t seed);
 
-    /// Runs on for this many seconds.
+    /// Continues the simulation for this many simulated seconds.
     void run(double seconds);
 
-    /// The sum of what all living processes may use now.
+    /// The sum of what all running processes may use now.
     LimitAmount sumUsable();
     LimitAmount usableOf(size_t slot);
-    /// Checks after which the sum was above the limit.
+    /// Number of checks that found the sum above the limit.
     int violations() const { return m_violations; }
     void setDemand(size_t slot, const LimitAmount &demand) { m_demand[slot] = demand; }
     void setStoreDown(bool down) { m_storeDown = down; }
     void setView(size_t slot) { m_commonView = slot; }
     void kill(size_t slot);
-    /// The slot of the process that may lend now, if there is one.
-    std::optional<size_t> lendingSlot();
+    /// The slot of the process that may grant slices now; no value if there is none.
+    std::optional<size_t> allocatingSlot();
 
     const LimitAmount m_limit{ 1'000, 23 };
 
@@ -68,16 +69,16 @@
         double m_rate = 1;
         double m_pausedUntil = 0;
         SliceHolder m_holder;
-        SliceLender m_lender;
-        Tenure m_tenure;
-        bool m_lending = false;
+        SliceAllocator m_allocator;
+        LeaderLease m_lease;
+        bool m_allocating = false;
         bool m_storeBusy = false;
-        uint64_t m_askedHandover = 0; ///< Number of the open question; 0: none.
-        TimePoint m_askedAt{};
+        uint64_t m_handoverRequest = 0; ///< Number of the open handover request; 0: none.
+        TimePoint m_handoverRequestedAt{};
         size_t m_view = 0;
         TimePoint m_viewSince{};
-        // Naive variant only.
-        std::map<SliceNodeId, std::pair<LimitAmount, TimePoint>> m_naiveLent;
+        // Used by the naive variant only.
+        std::map<SliceNodeId, std::pair<LimitAmount, TimePoint>> m_naiveGrants;
         LimitAmount m_naiveSlice;
         TimePoint m_naiveExpiry{};
     };
@@ -107,13 +108,13 @@
     void stepSteward(size_t slot, Process &process);
     void stepNode(size_t slot, Process &process);
     void stepNaiveNode(size_t slot, Process &process);
-    void answerAsk(Process &steward, size_t slot, const SliceAsk &ask);
-    void answerNaiveAsk(Process &steward, size_t slot, const SliceAsk &ask);
-    void takeTenure(Process &process, const std::vector<LentSlice> &slices);
-    void askHandover(size_t slot, Process &process);
-    void answerHandover(Process &holder, size_t slot, uint64_t number);
+    void answerSliceRequest(Process &steward, size_t slot, const SliceRequest &request);
+    void answerNaiveRequest(Process &steward, size_t slot, const SliceRequest &request);
+    void applyLeaderLease(Process &process, const std::vector<OutstandingSlice> &slices);
+    void requestHandover(size_t slot, Process &process);
+    void answerHandoverRequest(Process &holder, size_t slot, uint64_t number);
     void readStore(size_t slot, Process &process);
-    void writeStore(size_t slot, Process &process, const TenureWrite &write);
+    void writeStore(size_t slot, Process &process, const LeaderLeaseWrite &write);
     bool storeUp() { return !m_storeDown && !chance(m_faults.m_storeOutage); }
 
     SliceVariant m_variant;
@@ -122,17 +123,17 @@
     double m_now = 100;
     uint64_t m_order = 0;
     uint64_t m_lastId = 0;
-    uint64_t m_lastQuestion = 0;
+    uint64_t m_lastHandoverRequest = 0;
     std::priority_queue<Event> m_events;
     std::vector<std::unique_ptr<Process>> m_slots;
     std::vector<LimitAmount> m_demand;
     SliceSettings m_settings;
-    TenureSettings m_tenureSettings;
+    LeaderLeaseSettings m_leaseSettings;
     SliceLimits m_limits;
     size_t m_commonView = 0;
     bool m_storeDown = false;
     uint64_t m_storeVersion = 0;
-    TenureRecord m_storeRecord;
+    LeaderLeaseRecord m_storeRecord;
     int m_violations = 0;
 };
 
