--- a/policy/admission.cpp
+++ b/policy/admission.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Advice when the time cannot be computed: slots free up as requests end.
+/// Fixed, as it is not known when a request in progress will end.
 constexpr Duration ConcurrencyRetryAfter = Seconds(1);
-constexpr Duration LongestRetryAfter = Seconds(60);
+constexpr Duration MaxRetryAfter = Seconds(60);
 
-double burst(const CustomerUse &use)
+double bucketSize(const CustomerUse &use)
 {
     return use.m_slice.m_tokensPerSecond.value_or(0) * RateBurstSeconds;
 }
@@ -25,7 +25,7 @@
     use.m_updated = now;
     const double rate = use.m_slice.m_tokensPerSecond.value_or(0);
     const double added = rate * std::chrono::duration<double>(passed).count();
-    use.m_balance = std::min(use.m_balance + added, burst(use));
+    use.m_balance = std::min(use.m_balance + added, bucketSize(use));
 }
 
 /// Time until the balance is no longer negative.
@@ -33,17 +33,17 @@
 {
     const double rate = use.m_slice.m_tokensPerSecond.value_or(0);
     if (rate <= 0)
-        return LongestRetryAfter;
+        return MaxRetryAfter;
     const std::chrono::duration<double> wait(-use.m_balance / rate);
-    if (wait >= LongestRetryAfter)
-        return LongestRetryAfter;
+    if (wait >= MaxRetryAfter)
+        return MaxRetryAfter;
     return std::max<Duration>(std::chrono::ceil<Duration>(wait), Millis(1));
 }
 
 Refusal refuseConcurrency(const CustomerUse &use)
 {
     return { RequestError::ConcurrencyLimited, Outcome::RefusedNotRun,
-             fmt::format("The customer's limit of requests in progress is reached: {} here.",
+             fmt::format("The customer's limit of {} requests in progress on this node is reached.",
                          *use.m_slice.m_concurrency),
              ConcurrencyRetryAfter };
 }
@@ -51,8 +51,9 @@
 Refusal refuseRate(const CustomerUse &use)
 {
     return { RequestError::RateLimited, Outcome::RefusedNotRun,
-             fmt::format("The customer's limit of tokens a second is used up: {:.0f} here.",
-                         *use.m_slice.m_tokensPerSecond),
+             fmt::format(
+                 "The customer's limit of {:.0f} tokens per second on this node is reached.",
+                 *use.m_slice.m_tokensPerSecond),
              timeToRefill(use) };
 }
 
@@ -64,8 +65,9 @@
     const bool wasUnlimited = !use.m_slice.m_tokensPerSecond.has_value();
     use.m_slice = slice;
     use.m_updated = std::max(use.m_updated, now);
-    // A first slice starts empty: the burst has to be earned, or each new holder would add one.
-    use.m_balance = wasUnlimited ? 0 : std::min(use.m_balance, burst(use));
+    // The bucket of a first slice starts empty; else each new holder of a slice would add a burst
+    // to the customer's total.
+    use.m_balance = wasUnlimited ? 0 : std::min(use.m_balance, bucketSize(use));
 }
 
 std::optional<Refusal> admitRequest(CustomerUse &use, double tokens, TimePoint now)
@@ -88,7 +90,7 @@
     use.m_inProgress -= std::min<uint32_t>(use.m_inProgress, 1);
     if (!use.m_slice.m_tokensPerSecond)
         return;
-    use.m_balance = std::min(use.m_balance + admittedTokens - usedTokens, burst(use));
+    use.m_balance = std::min(use.m_balance + admittedTokens - usedTokens, bucketSize(use));
 }
 
 } // namespace stackquay
--- a/policy/admission.h
+++ b/policy/admission.h
@@ -1,9 +1,9 @@
-/// A customer's limits on one node: requests in progress and tokens a second, against the slice of
-/// the customer's limits that the node holds.
+/// Admission of a customer's requests on one node: limits requests in progress and tokens per
+/// second to the slice of the customer's limits that the node holds.
 ///
-/// The token bucket may be overdrawn by one request: a request is admitted unless the balance
-/// is negative, and pays its whole size, so that one prompt larger than the bucket can run and the
-/// long-run rate still holds.
+/// The rate limit is a token bucket that one request may overdraw: a request is admitted unless the
+/// balance is negative, and its whole size is withdrawn. So a request larger than the bucket can
+/// run, and the long-run rate still holds.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace stackquay {
 
-/// The part of a customer's limits that one node may use. No value: no limit.
+/// The part of a customer's limits that one node may use. A member without a value is not limited.
 struct LimitSlice {
     std::optional<double> m_tokensPerSecond;
     std::optional<uint32_t> m_concurrency;
@@ -21,25 +21,26 @@
     auto operator<=>(const LimitSlice &) const = default;
 };
 
-/// What one customer uses on one node.
+/// Limits and current use of one customer on one node.
 struct CustomerUse {
     LimitSlice m_slice;
-    double m_balance = 0; ///< Tokens; below zero after a large request.
-    TimePoint m_updated{};
-    uint32_t m_inProgress = 0;
+    double m_balance = 0; ///< Tokens in the bucket; negative after a large request.
+    TimePoint m_updated{}; ///< When m_balance was last refilled.
+    uint32_t m_inProgress = 0; ///< Admitted requests that have not finished.
 };
 
-/// How many seconds of its rate a customer may use at once.
+/// Size of the token bucket, in seconds of the customer's rate.
 constexpr double RateBurstSeconds = 2;
 
-/// Replaces the slice. Requests in progress stay, even above a smaller limit.
+/// Replaces the slice. Requests in progress continue
+/// even if they exceed a smaller limit.
 void setSlice(CustomerUse &use, const LimitSlice &slice, TimePoint now);
 
-/// Admits a request of @p tokens (prompt and longest answer), or says which limit refuses it and
-/// when to ask again. An admitted request must be given back by finishRequest().
+/// Admits a request of @p tokens (prompt and longest answer) and returns no value, or returns which
+/// limit refuses it and when to retry. Each admitted request needs a call of finishRequest().
 std::optional<Refusal> admitRequest(CustomerUse &use, double tokens, TimePoint now);
 
-/// Ends an admitted request: returns the tokens that it did not use.
+/// Ends an admitted request and refunds the tokens that it did not use.
 void finishRequest(CustomerUse &use, double admittedTokens, double usedTokens, TimePoint now);
 
 } // namespace stackquay
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -7,7 +7,7 @@
 
 const TimePoint Start{ Seconds(1'000) };
 
-TEST(Admission, NoSliceValueMeansNoLimit)
+TEST(Admission, NoValueInTheSliceMeansNoLimit)
 {
     CustomerUse use;
     for (int i = 0; i < 1'000; ++i)
@@ -15,7 +15,7 @@
     EXPECT_EQ(use.m_inProgress, 1'000U);
 }
 
-TEST(Admission, ConcurrencyIsGivenBack)
+TEST(Admission, FinishedRequestsFreeConcurrency)
 {
     CustomerUse use;
     setSlice(use, { std::nullopt, 2 }, Start);
@@ -69,7 +69,7 @@
     EXPECT_GE(admitted, 0.95 * Rate * seconds);
 }
 
-TEST(Admission, RetryAfterIsWhenTheBalanceIsBack)
+TEST(Admission, RetryAfterIsWhenTheBalanceIsNoLongerNegative)
 {
     CustomerUse use;
     setSlice(use, { 100.0, std::nullopt }, Start);
@@ -82,7 +82,7 @@
     EXPECT_FALSE(admitRequest(use, 1, Start + refusal->m_retryAfter));
 }
 
-TEST(Admission, UnusedTokensComeBack)
+TEST(Admission, UnusedTokensAreRefunded)
 {
     CustomerUse use;
     setSlice(use, { 100.0, std::nullopt }, Start);
@@ -91,7 +91,7 @@
     EXPECT_FALSE(admitRequest(use, 1, Start));
 }
 
-TEST(Admission, ANewSliceBringsNoBurst)
+TEST(Admission, FirstSliceStartsWithAnEmptyBucket)
 {
     CustomerUse use;
     setSlice(use, { 100.0, std::nullopt }, Start);
