--- a/policy/deadline.cpp
+++ b/policy/deadline.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr double LearningRate = 0.05;
-constexpr double LargestFactor = 10;
-/// Shorter predictions say little about a ratio.
-constexpr Duration ShortestLearned = Millis(200);
+constexpr double LearningRate = 0.05; ///< Weight of a new sample in the moving average.
+constexpr double MaxCorrectionFactor = 10;
+/// Waits with shorter predictions are ignored: their ratios are mostly noise.
+constexpr Duration MinLearnedPrediction = Millis(200);
 
 Duration scaled(Duration duration, double factor)
 {
@@ -33,13 +33,13 @@
     return Millis(value);
 }
 
-TimePoint requestDeadline(const DeadlineSettings &settings, std::optional<Millis> wished,
+TimePoint requestDeadline(const DeadlineSettings &settings, std::optional<Millis> requested,
                           LengthClass lengthClass, TimePoint arrived)
 {
-    const auto last = settings.m_byClass.size() - 1;
+    const auto last = settings.m_defaultByClass.size() - 1;
     const auto index = std::min(static_cast<size_t>(lengthClass), last);
-    const Millis allowed = wished.value_or(settings.m_byClass[index]);
-    return arrived + std::min(allowed, settings.m_longest);
+    const Millis allowed = requested.value_or(settings.m_defaultByClass[index]);
+    return arrived + std::min(allowed, settings.m_maxTimeout);
 }
 
 Duration timeLeft(TimePoint deadline, TimePoint now)
@@ -49,11 +49,11 @@
 
 void learnWait(WaitCorrection &correction, Duration predicted, Duration waited)
 {
-    if (predicted < ShortestLearned)
+    if (predicted < MinLearnedPrediction)
         return;
     const double ratio =
         std::chrono::duration<double>(waited) / std::chrono::duration<double>(predicted);
-    const double bounded = std::clamp(ratio, 0.0, LargestFactor);
+    const double bounded = std::clamp(ratio, 0.0, MaxCorrectionFactor);
     correction.m_factor += LearningRate * (bounded - correction.m_factor);
     correction.m_factor = std::max(correction.m_factor, 1.0);
 }
@@ -65,13 +65,13 @@
 
 TimePoint latestStart(const DeadlineSettings &settings, TimePoint deadline, Duration run)
 {
-    return deadline - scaled(run, settings.m_safety);
+    return deadline - scaled(run, settings.m_safetyFactor);
 }
 
 Duration spreadRetryAfter(const DeadlineSettings &settings, Duration missing, RandomEngine &random)
 {
-    const Duration shortest = settings.m_shortestRetryAfter;
-    const Duration longest = settings.m_longestRetryAfter;
+    const Duration shortest = settings.m_minRetryAfter;
+    const Duration longest = settings.m_maxRetryAfter;
     const Duration base = std::clamp(missing, shortest, longest);
     std::uniform_real_distribution<double> factor(1, 2);
     return scaled(base, factor(random));
@@ -82,19 +82,19 @@
                                     RandomEngine &random)
 {
     const Duration left = timeLeft(deadline, now);
-    const Duration needed = scaled(prediction.m_wait + prediction.m_run, settings.m_safety);
+    const Duration needed = scaled(prediction.m_wait + prediction.m_run, settings.m_safetyFactor);
     if (left > Duration{} && needed <= left)
         return std::nullopt;
-    // If the run alone is too long for the deadline, waiting does not help.
+    // If the run alone is too long for the deadline, a retry does not help.
     const bool waitingHelps =
-        left > Duration{} && scaled(prediction.m_run, settings.m_safety) <= left;
+        left > Duration{} && scaled(prediction.m_run, settings.m_safetyFactor) <= left;
     const Duration retryAfter =
         waitingHelps ? spreadRetryAfter(settings, needed - left, random) : Duration{};
     const auto leftMs = std::chrono::floor<Millis>(left);
     const auto neededMs = std::chrono::ceil<Millis>(needed);
     return Refusal{ RequestError::DeadlineUnmeetable, Outcome::RefusedNotRun,
-                    fmt::format("Needs about {} ms, and {} ms are left.", neededMs.count(),
-                                leftMs.count()),
+                    fmt::format("The request needs about {} ms; its deadline is in {} ms.",
+                                neededMs.count(), leftMs.count()),
                     retryAfter };
 }
 
--- a/policy/deadline.h
+++ b/policy/deadline.h
@@ -1,5 +1,5 @@
-/// Deadlines: fixed once at admission, and the decision whether a request can
-/// meet its own.
+/// Deadlines of requests, which are set once at admission, and the check whether a request can meet
+/// its deadline.
 #pragma once
 
 #include <array>
@@ -13,55 +13,56 @@
 namespace stackquay {
 
 struct DeadlineSettings {
-    /// Time from arrival when the caller names none, by length class.
-    std::array<Millis, static_cast<size_t>(LengthClass::Count)> m_byClass = {
+    /// Time from arrival to the deadline if the caller sets none, by length class.
+    std::array<Millis, static_cast<size_t>(LengthClass::Count)> m_defaultByClass = {
         Millis(30'000), Millis(60'000), Millis(180'000), Millis(600'000)
     };
-    Millis m_longest{ 900'000 }; ///< A longer wish of the caller is cut to this.
-    /// A prediction counts this many times when it is held against the deadline.
-    double m_safety = 1.1;
-    Millis m_shortestRetryAfter{ 1'000 };
-    Millis m_longestRetryAfter{ 60'000 };
+    Millis m_maxTimeout{ 900'000 }; ///< Deadlines that callers set are reduced to this.
+    /// Predicted times are multiplied by this before they are compared with the deadline.
+    double m_safetyFactor = 1.1;
+    Millis m_minRetryAfter{ 1'000 };
+    Millis m_maxRetryAfter{ 60'000 };
 };
 
-/// Parses the header Stackquay-Deadline: whole milliseconds from arrival, above
-/// zero.
+/// Parses the value of the header Stackquay-Deadline: milliseconds from arrival, a whole number
+/// above zero. Any other text gives ErrorCode::InvalidArgument.
 Result<Millis> parseDeadline(std::string_view header);
 
-/// The deadline of a request that arrived at @p arrived.
-TimePoint requestDeadline(const DeadlineSettings &settings, std::optional<Millis> wished,
+/// The deadline of a request that arrived at @p arrived: after @p requested if the caller set it,
+/// else after the default of its length class; in both cases at most after m_maxTimeout.
+TimePoint requestDeadline(const DeadlineSettings &settings, std::optional<Millis> requested,
                           LengthClass lengthClass, TimePoint arrived);
 
 /// Time until the deadline; zero when it has passed.
 Duration timeLeft(TimePoint deadline, TimePoint now);
 
-/// What a request is expected to take if it is accepted now.
+/// Predicted times of a request if it is accepted now.
 struct TimePrediction {
-    Duration m_wait{}; ///< Until an endpoint begins it.
-    Duration m_run{}; ///< From then to the end of its answer.
+    Duration m_wait{}; ///< Until an endpoint starts the request.
+    Duration m_run{}; ///< From its start to the end of its answer.
 };
 
-/// How much longer than predicted requests really wait, learned from those that
-/// began or gave up: a prediction cannot foresee what comes later and goes
-/// first. Kept for each customer.
+/// Ratio of actual to predicted waits of one customer's requests. Predictions are too short as they
+/// do not include requests that arrive later and are served earlier.
 struct WaitCorrection {
-    double m_factor = 1; ///< Real wait / predicted wait, never below 1.
+    double m_factor = 1; ///< Moving average of actual / predicted wait, at least 1.
 };
 
-/// A request waited this long, until it began or was given up.
+/// Updates the correction by a request that waited for @p waited until it started or was abandoned.
 void learnWait(WaitCorrection &correction, Duration predicted, Duration waited);
+/// The predicted wait multiplied by the correction factor.
 Duration correctedWait(const WaitCorrection &correction, Duration predicted);
 
-/// Last time at which beginning a run of this length makes sense.
+/// Latest time to start a run of this predicted length so that it meets the deadline.
 TimePoint latestStart(const DeadlineSettings &settings, TimePoint deadline, Duration run);
 
-/// When to ask again: the time that is missing, spread at random up to twice of
-/// it, so that refused callers do not come back together.
+/// Retry-After of a refused request: one to two times @p missing, at random, so that refused
+/// callers do not retry at the same time. @p missing is first clamped to the limits of the
+/// settings.
 Duration spreadRetryAfter(const DeadlineSettings &settings, Duration missing, RandomEngine &random);
 
-/// Refuses a request that cannot meet its deadline; it has not run. No value:
-/// it can. Without advice to ask again if the run alone is longer than the time
-/// left.
+/// Returns a refusal if the request cannot meet its deadline, no value if it can. The refusal's
+/// retryAfter is zero if the deadline has passed or the run alone takes longer than the time left.
 std::optional<Refusal> refuseIfLate(const DeadlineSettings &settings, TimePoint deadline,
                                     const TimePrediction &prediction, TimePoint now,
                                     RandomEngine &random);
--- a/tests/policy/deadline_test.cpp
+++ b/tests/policy/deadline_test.cpp
@@ -14,23 +14,23 @@
         EXPECT_FALSE(parseDeadline(bad)) << bad;
 }
 
-TEST(Deadline, CallersWishGoesBeforeTheClassAndIsBounded)
+TEST(Deadline, CallersDeadlineOverridesTheClassDefaultAndIsBounded)
 {
     const DeadlineSettings settings;
     EXPECT_EQ(requestDeadline(settings, std::nullopt, LengthClass::Short, Start),
-              Start + settings.m_byClass.front());
+              Start + settings.m_defaultByClass.front());
     EXPECT_EQ(requestDeadline(settings, std::nullopt, LengthClass::VeryLong, Start),
-              Start + settings.m_byClass.back());
+              Start + settings.m_defaultByClass.back());
     EXPECT_EQ(requestDeadline(settings, Millis(700), LengthClass::VeryLong, Start),
               Start + Millis(700));
     EXPECT_EQ(requestDeadline(settings, Millis::max(), LengthClass::Short, Start),
-              Start + settings.m_longest);
+              Start + settings.m_maxTimeout);
 }
 
-TEST(Deadline, RefusesWhatCannotMeetIt)
+TEST(Deadline, RefusesRequestsThatCannotMeetIt)
 {
     DeadlineSettings settings;
-    settings.m_safety = 1;
+    settings.m_safetyFactor = 1;
     RandomEngine random(1);
     const TimePoint deadline = Start + Seconds(10);
     EXPECT_FALSE(refuseIfLate(settings, deadline, { Seconds(6), Seconds(4) }, Start, random));
@@ -45,7 +45,7 @@
     EXPECT_EQ(timeLeft(deadline, deadline + Seconds(1)), Duration{});
 }
 
-TEST(Deadline, NoAdviceToAskAgainIfTheRunAloneIsTooLong)
+TEST(Deadline, NoRetryAfterIfTheRunAloneIsTooLong)
 {
     RandomEngine random(1);
     const auto refusal =
@@ -54,7 +54,7 @@
     EXPECT_EQ(refusal->m_retryAfter, Duration{});
 }
 
-TEST(Deadline, PredictionsAreCorrectedByWhatHappened)
+TEST(Deadline, PredictionsAreCorrectedByActualWaits)
 {
     WaitCorrection correction;
     for (int i = 0; i < 200; ++i)
@@ -66,7 +66,7 @@
     EXPECT_EQ(correctedWait(correction, Seconds(2)), Seconds(2));
 }
 
-TEST(Deadline, RetryAfterIsSpread)
+TEST(Deadline, RetryAfterIsJittered)
 {
     const DeadlineSettings settings;
     RandomEngine random(3);
