--- a/policy/drain.cpp
+++ b/policy/drain.cpp
@@ -14,7 +14,7 @@
 
 bool mayTake(const DrainPlan &plan, TimePoint now, const RequestTime &time)
 {
-    if (canEnd(plan, now, time.m_most))
+    if (canEnd(plan, now, time.m_max))
         return true;
     return now < plan.m_begunAt + plan.m_notice && canEnd(plan, now, time.m_expected);
 }
--- a/policy/drain.h
+++ b/policy/drain.h
@@ -1,10 +1,11 @@
-/// Which requests a daemon still takes once it has been told to stop.
+/// Decides which requests a draining daemon still accepts, and when it exits.
 ///
-/// The balancer learns with a lag that the VM goes, and clients go on using the connections that
-/// they have. Until the balancer has noticed, a request is taken if it is expected to end before
-/// the process has to. What comes later comes on open connections, or because too few VMs are left
-/// in a data centre: it is taken only if it ends in any case, and else refused at once, as another
-/// VM answers it sooner than this one could fail it.
+/// The load balancer notices a drain only after a delay, and clients continue to use their open
+/// connections. Until the balancer has noticed, a request is accepted if it is expected to finish
+/// within the grace period. Later requests arrive on open connections, or because too few VMs are
+/// left in a data centre. They are accepted only if even their longest duration ends within the
+/// grace period; others are refused at once, so that the client retries on another VM instead of
+/// waiting for a failure here.
 #pragma once
 
 #include "core/core.h"
@@ -12,27 +13,30 @@
 namespace stackquay {
 
 struct DrainPlan {
-    TimePoint m_begunAt{}; ///< When it was told to stop; not set: it was not.
-    Duration m_notice{}; ///< From then on: new connections still come from the balancer.
-    Duration
-        m_linger{}; ///< From then on: open connections are answered, also if nothing is left to do.
-    Duration m_grace{}; ///< From then on: what is still in progress is given up.
+    TimePoint m_begunAt{}; ///< When the drain started; TimePoint{}: not draining.
+    /// Time from the start of the drain until the balancer stops sending new connections.
+    Duration m_notice{};
+    /// Min time from the start of the drain to exit, to answer requests on open connections.
+    Duration m_linger{};
+    /// Time from the start of the drain after which requests in progress are aborted.
+    Duration m_grace{};
 
     bool operator==(const DrainPlan &) const = default;
 };
 
 bool isDraining(const DrainPlan &plan);
-/// Whether what takes @p expected from now on ends within the grace. True if it is not draining.
+/// Whether work that takes @p expected from now ends within the grace period. Always true if the
+/// daemon is not draining.
 bool canEnd(const DrainPlan &plan, TimePoint now, Duration expected);
 /// How long a request takes.
 struct RequestTime {
     Duration m_expected{};
-    Duration m_most = Duration::max(); ///< It is ended after this.
+    Duration m_max = Duration::max(); ///< The request is aborted after this.
 };
 
-/// Whether a request that comes now is to be begun.
+/// Whether to accept a request that arrives now.
 bool mayTake(const DrainPlan &plan, TimePoint now, const RequestTime &time);
-/// Whether the daemon ends now, with @p inProgress requests.
+/// Whether the draining daemon exits now, given @p inProgress requests.
 bool endsNow(const DrainPlan &plan, TimePoint now, size_t inProgress);
 
 } // namespace stackquay
--- a/tests/policy/drain_plan_test.cpp
+++ b/tests/policy/drain_plan_test.cpp
@@ -1,4 +1,4 @@
-// Which requests a daemon still takes once it has been told to stop.
+// Tests which requests a draining daemon accepts, and when it exits.
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 const TimePoint Begun = TimePoint{} + Seconds(100);
 const DrainPlan Plan{ Begun, Millis(2'000), Millis(3'000), Millis(7'000) };
 
-TEST(DrainPlanTest, TakesAllWhileItWasNotToldToStop)
+TEST(DrainPlanTest, AcceptsEverythingWhenNotDraining)
 {
     const DrainPlan none;
     EXPECT_FALSE(isDraining(none));
@@ -18,7 +18,7 @@
     EXPECT_TRUE(canEnd(none, Begun, Seconds(1'000)));
 }
 
-TEST(DrainPlanTest, TakesUntilTheBalancersNotice)
+TEST(DrainPlanTest, AcceptsUntilTheBalancerNotices)
 {
     EXPECT_TRUE(isDraining(Plan));
     EXPECT_TRUE(mayTake(Plan, Begun, { Millis(10) }));
@@ -27,7 +27,7 @@
     EXPECT_FALSE(mayTake(Plan, Begun + Millis(6'000), { Millis(10) }));
 }
 
-TEST(DrainPlanTest, TakesOnlyWhatCanEndInTheGrace)
+TEST(DrainPlanTest, AcceptsOnlyWhatEndsWithinTheGracePeriod)
 {
     EXPECT_TRUE(mayTake(Plan, Begun, { Millis(7'000) }));
     EXPECT_FALSE(mayTake(Plan, Begun, { Millis(7'001) }));
@@ -35,20 +35,20 @@
     EXPECT_FALSE(mayTake(Plan, Begun + Millis(1'500), { Millis(5'501) }));
 }
 
-TEST(DrainPlanTest, TakesLaterOnlyWhatEndsInAnyCase)
+TEST(DrainPlanTest, AcceptsLaterOnlyIfTheLongestDurationFits)
 {
     const RequestTime bounded{ Millis(10), Millis(2'000) };
     EXPECT_TRUE(mayTake(Plan, Begun + Millis(5'000), bounded));
     EXPECT_FALSE(mayTake(Plan, Begun + Millis(5'001), bounded));
 }
 
-TEST(DrainPlanTest, WhatWasTakenMayGoOnAfterTheNotice)
+TEST(DrainPlanTest, AcceptedRequestsContinueAfterTheNotice)
 {
     EXPECT_TRUE(canEnd(Plan, Begun + Millis(4'000), Millis(3'000)));
     EXPECT_FALSE(canEnd(Plan, Begun + Millis(4'000), Millis(3'001)));
 }
 
-TEST(DrainPlanTest, EndsWhenAllIsDoneButNotBeforeOpenConnectionsWereAnswered)
+TEST(DrainPlanTest, ExitsWhenIdleButNotBeforeTheLingerTime)
 {
     EXPECT_FALSE(endsNow(Plan, Begun + Millis(2'999), 0));
     EXPECT_TRUE(endsNow(Plan, Begun + Millis(3'000), 0));
@@ -56,8 +56,8 @@
     EXPECT_TRUE(endsNow(Plan, Begun + Millis(7'000), 1));
 }
 
-// A grace shorter than the balancer's lag is kept all the same.
-TEST(DrainPlanTest, NeverLastsLongerThanTheGrace)
+// The grace period also ends the drain if it is shorter than the notice of the balancer.
+TEST(DrainPlanTest, NeverOutlastsTheGracePeriod)
 {
     const DrainPlan plan{ Begun, Millis(2'000), Millis(3'000), Millis(1'000) };
     EXPECT_FALSE(mayTake(plan, Begun + Millis(990), { Millis(11) }));
