--- a/policy/fair_queue.cpp
+++ b/policy/fair_queue.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr double SmallestCost = 1e-9;
+constexpr double MinCost = 1e-9;
 
 double positive(double value)
 {
-    return std::max(value, SmallestCost);
+    return std::max(value, MinCost);
 }
 
 } // namespace
@@ -28,13 +28,13 @@
     return { request.m_deadline.time_since_epoch() + aged, request.m_id };
 }
 
-void FairQueue::unlinkFlow(Level &level, const CustomerId &customer, const Flow &flow)
+void FairQueue::removeFromIndexes(Level &level, const CustomerId &customer, const Flow &flow)
 {
     level.m_byStart.erase({ flow.m_start, customer });
     level.m_byBacklog.erase({ flow.m_cost / flow.m_weight, customer });
 }
 
-void FairQueue::linkFlow(Level &level, const CustomerId &customer, const Flow &flow)
+void FairQueue::addToIndexes(Level &level, const CustomerId &customer, const Flow &flow)
 {
     if (flow.m_order.empty())
         return;
@@ -54,26 +54,26 @@
     }
     result.m_accepted = true;
 
-    WaitingRequest &kept = m_requests[request.m_id] = request;
-    kept.m_weight = positive(kept.m_weight);
-    kept.m_cost = positive(kept.m_cost);
-    Level &level = m_levels[kept.m_priority];
-    Flow &flow = level.m_flows[kept.m_customer];
-    unlinkFlow(level, kept.m_customer, flow);
+    WaitingRequest &waiting = m_requests[request.m_id] = request;
+    waiting.m_weight = positive(waiting.m_weight);
+    waiting.m_cost = positive(waiting.m_cost);
+    Level &level = m_levels[waiting.m_priority];
+    Flow &flow = level.m_flows[waiting.m_customer];
+    removeFromIndexes(level, waiting.m_customer, flow);
     if (flow.m_order.empty()) {
         flow.m_start = std::max(flow.m_start, level.m_virtualTime);
         flow.m_cost = 0;
     }
-    flow.m_weight = kept.m_weight;
-    flow.m_cost += kept.m_cost;
-    flow.m_order.emplace(orderKey(kept), kept.m_cost);
-    level.m_cost += kept.m_cost;
-    linkFlow(level, kept.m_customer, flow);
-    m_byExpiry.insert({ kept.m_startBy, kept.m_id });
+    flow.m_weight = waiting.m_weight;
+    flow.m_cost += waiting.m_cost;
+    flow.m_order.emplace(orderKey(waiting), waiting.m_cost);
+    level.m_cost += waiting.m_cost;
+    addToIndexes(level, waiting.m_customer, flow);
+    m_byExpiry.insert({ waiting.m_startBy, waiting.m_id });
     return result;
 }
 
-std::optional<RequestId> FairQueue::lastOfLargestBacklog(const Level &level) const
+std::optional<RequestId> FairQueue::lastRequestOfLargestBacklog(const Level &level) const
 {
     if (level.m_byBacklog.empty())
         return std::nullopt;
@@ -89,11 +89,11 @@
     if (lowest == m_levels.rend() || lowest->first > request.m_priority)
         return std::nullopt;
     const Level &level = lowest->second;
-    const std::optional<RequestId> victim = lastOfLargestBacklog(level);
+    const std::optional<RequestId> victim = lastRequestOfLargestBacklog(level);
     if (!victim)
         return std::nullopt;
     if (lowest->first < request.m_priority)
-        return takeOut(*victim);
+        return removeWaiting(*victim);
 
     const FlowKey &largest = *level.m_byBacklog.rbegin();
     const auto own = level.m_flows.find(request.m_customer);
@@ -102,10 +102,10 @@
     if (largest.m_customer == request.m_customer
         || ownCost / positive(request.m_weight) >= largest.m_value)
         return std::nullopt;
-    return takeOut(*victim);
+    return removeWaiting(*victim);
 }
 
-WaitingRequest FairQueue::takeOut(const RequestId &id)
+WaitingRequest FairQueue::removeWaiting(const RequestId &id)
 {
     const auto found = m_requests.find(id);
     WaitingRequest request = std::move(found->second);
@@ -114,12 +114,12 @@
 
     Level &level = m_levels.at(request.m_priority);
     Flow &flow = level.m_flows.at(request.m_customer);
-    unlinkFlow(level, request.m_customer, flow);
+    removeFromIndexes(level, request.m_customer, flow);
     flow.m_order.erase(orderKey(request));
     flow.m_cost = flow.m_order.empty() ? 0 : flow.m_cost - request.m_cost;
     level.m_cost -= request.m_cost;
-    linkFlow(level, request.m_customer, flow);
-    dropIfEmpty(request.m_priority);
+    addToIndexes(level, request.m_customer, flow);
+    eraseLevelIfEmpty(request.m_priority);
     return request;
 }
 
@@ -127,20 +127,19 @@
 {
     Level &level = m_levels[request.m_priority];
     Flow &flow = level.m_flows[request.m_customer];
-    unlinkFlow(level, request.m_customer, flow);
+    removeFromIndexes(level, request.m_customer, flow);
     level.m_virtualTime = std::max(level.m_virtualTime, flow.m_start);
     flow.m_start += request.m_cost / request.m_weight;
-    linkFlow(level, request.m_customer, flow);
+    addToIndexes(level, request.m_customer, flow);
 }
 
-void FairQueue::dropIfEmpty(int priority)
+void FairQueue::eraseLevelIfEmpty(int priority)
 {
     const auto found = m_levels.find(priority);
     Level &level = found->second;
     if (!level.m_byStart.empty())
         return;
-    // Without any waiting request there is no share to keep, so the busy period
-    // ends.
+    // The busy period of this priority ends; virtual times start from zero in the next one.
     m_levels.erase(found);
 }
 
@@ -159,7 +158,7 @@
                     continue;
                 const RequestId id = position.m_id;
                 charge(request);
-                return takeOut(id);
+                return removeWaiting(id);
             }
         }
     }
@@ -170,7 +169,7 @@
 {
     if (!m_requests.contains(id))
         return std::nullopt;
-    return takeOut(id);
+    return removeWaiting(id);
 }
 
 std::vector<WaitingRequest> FairQueue::expire(TimePoint now)
@@ -178,7 +177,7 @@
     std::vector<WaitingRequest> expired;
     while (!m_byExpiry.empty() && m_byExpiry.begin()->m_startBy < now) {
         const RequestId id = m_byExpiry.begin()->m_id;
-        expired.push_back(takeOut(id));
+        expired.push_back(removeWaiting(id));
     }
     return expired;
 }
@@ -219,7 +218,7 @@
     if (found == m_levels.end())
         return cost;
     const Level &level = found->second;
-    // The virtual time at which the request would begin.
+    // The virtual time at which the request would start.
     double ownStart = level.m_virtualTime;
     const auto own = level.m_flows.find(customer);
     if (own != level.m_flows.end()) {
--- a/policy/fair_queue.h
+++ b/policy/fair_queue.h
@@ -1,17 +1,16 @@
-/// The queue of waiting requests: by priority, then the customer's weighted
-/// fair share, then the earliest deadline with aging.
+/// Queue of waiting requests, ordered by priority, then by the customer's weighted fair share, then
+/// by earliest deadline with aging.
 ///
-/// Within a priority, customers are served by start-time fair queueing: each
-/// has a virtual time that grows by cost / weight with each request served, and
-/// the one furthest behind is next. A customer that had nothing waiting starts
-/// at the present virtual time, so idling earns nothing. Within a customer, the
-/// key is deadline + factor x arrival: with factor 0 the earliest deadline
-/// first, and the larger the factor, the closer to first come, first served.
+/// Within a priority, customers are served by start-time fair queueing: each customer has a virtual
+/// time that grows by cost / weight with each request served, and the customer with the smallest
+/// virtual time is served next. A customer without waiting requests restarts at the current virtual
+/// time, so it gains no credit while idle. Requests of one customer are ordered by
+/// deadline + agingFactor * arrival: factor 0 gives earliest deadline first; the larger the factor,
+/// the closer the order is to first come, first served.
 ///
-/// The queue is bounded. When it is full, a newcomer takes the place of a
-/// request of a lower priority, or of the customer with the most waiting cost
-/// for its weight, if that has more than the newcomer's customer; else the
-/// newcomer is refused.
+/// The queue is bounded. When it is full, a new request displaces a request of a lower priority.
+/// Otherwise it displaces a request of the customer with the largest waiting cost / weight if that
+/// is larger than that of the new request's customer. Else the new request is refused.
 #pragma once
 
 #include <compare>
@@ -27,95 +26,92 @@
 namespace stackquay {
 
 struct FairQueueSettings {
-    size_t m_capacity = 4096; ///< Most requests waiting.
-    double m_agingFactor = 1; ///< Weight of the arrival time beside the deadline.
+    size_t m_capacity = 4096; ///< Max number of waiting requests.
+    double m_agingFactor = 1; ///< Weight of the arrival time relative to the deadline.
 };
 
-/// One request that waits.
+/// A request in the queue.
 struct WaitingRequest {
     RequestId m_id;
     CustomerId m_customer;
     int m_priority = 0; ///< Higher is served first.
-    double m_weight = 1; ///< Of the customer's fair share; above zero.
-    double m_cost = 1; ///< What it will use, in any one unit for the whole queue; above zero.
+    double m_weight = 1; ///< Weight of the customer's fair share; above zero.
+    double m_cost = 1; ///< Predicted resource use; same unit for the whole queue; above zero.
     TimePoint m_arrived{};
-    TimePoint m_deadline{}; ///< When the caller must have the answer.
-    /// Last time at which beginning it makes sense: the deadline less the
-    /// predicted run.
+    TimePoint m_deadline{}; ///< When the answer must be complete.
+    /// Latest time to start it: the deadline minus the predicted run.
     TimePoint m_startBy{};
 };
 
-/// Result of FairQueue::push(). Whoever is refused or displaced has to be told
-/// at once.
+/// Result of FairQueue::push(). The caller has to answer a refused or displaced request at once.
 struct PushResult {
     bool m_accepted = false;
     std::optional<WaitingRequest> m_displaced;
 };
 
-/// Deterministic: the same calls give the same order. Not safe for use by
-/// several threads.
+/// Deterministic: the same calls give the same order. Not thread-safe.
 class FairQueue
 {
 public:
-    /// Whether a request may be served now, such as for want of memory at the
-    /// endpoint.
+    /// Whether a request can be served now; false, for example, if no endpoint has enough free
+    /// memory.
     using Predicate = std::function<bool(const WaitingRequest &)>;
 
     explicit FairQueue(FairQueueSettings settings = {});
 
-    /// Adds a request; one whose id is already waiting is not accepted.
+    /// Adds a request. Does not accept a request whose id is waiting already.
     PushResult push(const WaitingRequest &request);
-    /// Takes the next request, if any.
+    /// Removes and returns the next request; no value if the queue is empty.
     std::optional<WaitingRequest> pop();
-    /// Takes the first request in order for which @p mayServe holds. Only those
-    /// taken are charged to their customer.
+    /// Removes and returns the first request in order for which @p mayServe returns true; no value
+    /// if there is none. Only a returned request is charged to its customer.
     std::optional<WaitingRequest> popIf(const Predicate &mayServe);
-    /// Takes out a request, such as one whose caller hung up.
+    /// Removes and returns a request, for example after its caller disconnected; no value if it is
+    /// not waiting. It is not charged.
     std::optional<WaitingRequest> remove(const RequestId &id);
-    /// Takes out all requests that can no longer be begun in time.
+    /// Removes and returns all requests whose m_startBy has passed.
     std::vector<WaitingRequest> expire(TimePoint now);
 
-    /// The earliest time at which expire() will find something.
+    /// The earliest m_startBy of all requests; no value if the queue is empty.
     std::optional<TimePoint> nextExpiry() const;
     size_t size() const { return m_requests.size(); }
     bool empty() const { return m_requests.empty(); }
-    /// Waiting cost of @p priority and above.
+    /// Sum of the costs of waiting requests of @p priority and above.
     double costAhead(int priority) const;
-    /// Waiting cost that a new request would be served after: all of higher
-    /// priorities, of its own customer what comes before it in order, and of each
-    /// other customer what its fair share allows until then. Requests that come
-    /// later are not foreseen. Linear in the customers and in the customer's own
-    /// requests.
+    /// Cost that would be served before a new request: all requests of higher priorities, its
+    /// customer's requests that precede it, and of each other customer what its fair share allows
+    /// until then. Does not include requests that arrive later. Takes time linear in the number of
+    /// customers and of the customer's own requests.
     double fairCostAhead(const WaitingRequest &request) const;
-    /// The same for a request that would come last among its customer's.
+    /// The same for a request that would be the last of its customer.
     double fairCostAhead(const CustomerId &customer, int priority, double weight) const;
 
 private:
-    /// Position among one customer's requests.
+    /// Sort key among the requests of one customer.
     struct OrderKey {
-        Duration m_aged{};
+        Duration m_aged{}; ///< Deadline + aging factor * arrival.
         RequestId m_id;
         auto operator<=>(const OrderKey &) const = default;
     };
-    /// A customer that has requests waiting, or whose virtual time is still
-    /// ahead.
+    /// State of one customer at one priority; kept while any request of that priority waits.
     struct Flow {
-        double m_start = 0; ///< Virtual time at which its next request begins.
+        double m_start = 0; ///< Virtual start time of its next request.
         double m_weight = 1;
-        double m_cost = 0; ///< Of all its waiting requests.
-        std::map<OrderKey, double> m_order; ///< Its requests, with their costs.
+        double m_cost = 0; ///< Sum of the costs of its waiting requests.
+        std::map<OrderKey, double> m_order; ///< Its waiting requests with their costs.
     };
     struct FlowKey {
         double m_value = 0;
         CustomerId m_customer;
         auto operator<=>(const FlowKey &) const = default;
     };
+    /// All customers with requests of one priority.
     struct Level {
         double m_virtualTime = 0;
-        double m_cost = 0;
+        double m_cost = 0; ///< Sum of the costs of all waiting requests.
         std::unordered_map<CustomerId, Flow> m_flows;
-        std::set<FlowKey> m_byStart; ///< Flows with requests, by virtual time.
-        std::set<FlowKey> m_byBacklog; ///< Flows with requests, by waiting cost / weight.
+        std::set<FlowKey> m_byStart; ///< Flows with waiting requests, by m_start.
+        std::set<FlowKey> m_byBacklog; ///< Flows with waiting requests, by m_cost / m_weight.
     };
     struct ExpiryKey {
         TimePoint m_startBy;
@@ -128,12 +124,12 @@
     double costBefore(const CustomerId &customer, int priority, double weight,
                       const OrderKey &position) const;
     std::optional<WaitingRequest> makeRoomFor(const WaitingRequest &request);
-    std::optional<RequestId> lastOfLargestBacklog(const Level &level) const;
-    void unlinkFlow(Level &level, const CustomerId &customer, const Flow &flow);
-    void linkFlow(Level &level, const CustomerId &customer, const Flow &flow);
-    WaitingRequest takeOut(const RequestId &id);
+    std::optional<RequestId> lastRequestOfLargestBacklog(const Level &level) const;
+    void removeFromIndexes(Level &level, const CustomerId &customer, const Flow &flow);
+    void addToIndexes(Level &level, const CustomerId &customer, const Flow &flow);
+    WaitingRequest removeWaiting(const RequestId &id);
     void charge(const WaitingRequest &request);
-    void dropIfEmpty(int priority);
+    void eraseLevelIfEmpty(int priority);
 
     FairQueueSettings m_settings;
     std::unordered_map<RequestId, WaitingRequest> m_requests;
--- a/tests/policy/fair_queue_test.cpp
+++ b/tests/policy/fair_queue_test.cpp
@@ -60,7 +60,7 @@
     EXPECT_NEAR(served["mid"] / unit, 2, 0.02);
 }
 
-TEST(FairQueue, AFloodDelaysOnlyItsOwnCustomer)
+TEST(FairQueue, LargeBacklogDelaysOnlyItsOwnCustomer)
 {
     FairQueue queue;
     for (int i = 0; i < 2'000; ++i)
@@ -74,7 +74,7 @@
     EXPECT_LE(before, 1);
 }
 
-TEST(FairQueue, IdlingEarnsNoShare)
+TEST(FairQueue, IdleCustomerGainsNoCredit)
 {
     FairQueue queue;
     for (int i = 0; i < 1'000; ++i)
@@ -99,14 +99,14 @@
     EXPECT_EQ(queue.pop()->m_id, RequestId("1002"));
 }
 
-TEST(FairQueue, AgingLetsLongOnesFinish)
+TEST(FairQueue, AgingServesRequestsWithLateDeadlines)
 {
     FairQueue queue;
     WaitingRequest late = request(0, "a");
     late.m_deadline = Start + Seconds(600);
     late.m_startBy = late.m_deadline;
     queue.push(late);
-    // One short request comes for each one served, for ever.
+    // Without aging, the short request that arrives after each served one would always go first.
     for (int second = 0;; ++second) {
         ASSERT_LT(second, 300);
         WaitingRequest next = request(second + 1, "a");
@@ -118,7 +118,7 @@
     }
 }
 
-TEST(FairQueue, ExpiredRequestsComeOutAtOnce)
+TEST(FairQueue, ExpireReturnsRequestsThatCannotStartInTime)
 {
     FairQueue queue;
     WaitingRequest first = request(1, "a");
@@ -185,7 +185,7 @@
     EXPECT_FALSE(queue.push(request(4, "d", 1, 1)).m_accepted);
 }
 
-TEST(FairQueue, EstimatesWhatIsAheadOfANewcomer)
+TEST(FairQueue, EstimatesTheCostAheadOfANewRequest)
 {
     FairQueue queue;
     for (int i = 0; i < 100; ++i)
@@ -196,19 +196,19 @@
     EXPECT_EQ(queue.fairCostAhead(request(300, "new")), 3);
     EXPECT_EQ(queue.fairCostAhead(request(300, "a")), 3 + 4 + 4);
     EXPECT_EQ(queue.fairCostAhead(request(300, "flood")), 1'007);
-    // A close deadline goes before the customer's own requests that have time.
+    // An earlier deadline goes before the customer's own requests with later ones.
     WaitingRequest urgent = request(300, "flood");
     urgent.m_deadline = Start;
     EXPECT_EQ(queue.fairCostAhead(urgent), 3);
 }
 
 struct Trace {
-    std::vector<std::string> m_taken;
-    size_t m_put = 0;
-    size_t m_left = 0;
+    std::vector<std::string> m_removedIds;
+    size_t m_pushed = 0;
+    size_t m_remaining = 0;
 };
 
-/// Random calls; checks after each that nothing is lost and the bound holds.
+/// Makes random calls. Checks after each call that no request is lost and the capacity holds.
 Trace randomCalls(uint64_t seed)
 {
     RandomEngine random(seed);
@@ -225,35 +225,36 @@
             next.m_weight = 1 + random() % 3;
             next.m_startBy = now + Millis(random() % 3'000);
             const PushResult result = queue.push(next);
-            trace.m_put += 1;
+            trace.m_pushed += 1;
             refused += result.m_accepted ? 0 : 1;
             if (result.m_displaced)
-                trace.m_taken.push_back("d" + result.m_displaced->m_id.str());
+                trace.m_removedIds.push_back("d" + result.m_displaced->m_id.str());
         } else if (choice < 8) {
             if (const auto next = queue.pop())
-                trace.m_taken.push_back("p" + next->m_id.str());
+                trace.m_removedIds.push_back("p" + next->m_id.str());
         } else if (choice < 9) {
-            if (const auto gone = queue.remove(RequestId(std::to_string(1'000 + random() % 1'000))))
-                trace.m_taken.push_back("r" + gone->m_id.str());
+            if (const auto removed =
+                    queue.remove(RequestId(std::to_string(1'000 + random() % 1'000))))
+                trace.m_removedIds.push_back("r" + removed->m_id.str());
         } else {
             for (const WaitingRequest &expired : queue.expire(now))
-                trace.m_taken.push_back("e" + expired.m_id.str());
+                trace.m_removedIds.push_back("e" + expired.m_id.str());
         }
         EXPECT_LE(queue.size(), 40U);
-        EXPECT_EQ(trace.m_put, refused + trace.m_taken.size() + queue.size());
+        EXPECT_EQ(trace.m_pushed, refused + trace.m_removedIds.size() + queue.size());
     }
-    trace.m_left = queue.size();
+    trace.m_remaining = queue.size();
     while (queue.pop())
-        trace.m_left -= 1;
+        trace.m_remaining -= 1;
     return trace;
 }
 
-TEST(FairQueue, RandomCallsLoseNothingAndRepeat)
+TEST(FairQueue, RandomCallsLoseNothingAndAreDeterministic)
 {
     for (uint64_t seed = 0; seed < 100; ++seed) {
         const Trace first = randomCalls(seed);
-        EXPECT_EQ(first.m_left, 0U);
-        ASSERT_EQ(first.m_taken, randomCalls(seed).m_taken) << "seed " << seed;
+        EXPECT_EQ(first.m_remaining, 0U);
+        ASSERT_EQ(first.m_removedIds, randomCalls(seed).m_removedIds) << "seed " << seed;
     }
 }
 
