--- a/policy/intent_check.cpp
+++ b/policy/intent_check.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr size_t LongestName = 64;
+constexpr size_t MaxNameLength = 64;
 constexpr size_t KeyHashLength = 64; ///< SHA-256 in hex.
 constexpr std::string_view HexDigits = "0123456789abcdef";
-constexpr uint32_t MostSpan = 64;
-constexpr uint32_t MostLoadsAtOnce = 1000;
-constexpr int LowestPriority = -100;
-constexpr int HighestPriority = 100;
+constexpr uint32_t MaxSpan = 64;
+constexpr uint32_t MaxLoadsAtOnce = 1000;
+constexpr int MinPriority = -100;
+constexpr int MaxPriority = 100;
 
 using Names = std::set<std::string>;
 
@@ -46,7 +46,7 @@
     const auto allowed = [](unsigned char c) {
         return std::isalnum(c) || c == '.' || c == '_' || c == '-';
     };
-    return !text.empty() && text.size() <= LongestName
+    return !text.empty() && text.size() <= MaxNameLength
            && std::all_of(text.begin(), text.end(), allowed);
 }
 
@@ -64,14 +64,14 @@
     boost::system::error_code error;
     boost::asio::ip::make_address_v4(text.substr(0, colon), error);
     const std::string port = text.substr(colon + 1);
-    constexpr size_t LongestPort = 5;
-    const bool digits = !port.empty() && port.size() <= LongestPort
+    constexpr size_t MaxPortDigits = 5;
+    const bool digits = !port.empty() && port.size() <= MaxPortDigits
                         && port.find_first_not_of("0123456789") == std::string::npos;
-    constexpr int HighestPort = 65535;
-    return !error && digits && std::stoi(port) >= 1 && std::stoi(port) <= HighestPort;
+    constexpr int MaxPort = 65535;
+    return !error && digits && std::stoi(port) >= 1 && std::stoi(port) <= MaxPort;
 }
 
-std::string listed(const Names &names)
+std::string joinNames(const Names &names)
 {
     return names.empty() ? "none, as none is declared" : fmt::format("{}", fmt::join(names, ", "));
 }
@@ -103,9 +103,9 @@
         checkCustomers();
         checkObjectives();
         checkKeys();
-        if (m_intent.m_weightLoadsAtOnce < 1 || m_intent.m_weightLoadsAtOnce > MostLoadsAtOnce)
+        if (m_intent.m_weightLoadsAtOnce < 1 || m_intent.m_weightLoadsAtOnce > MaxLoadsAtOnce)
             add("intent", "weight_loads_at_once", m_intent.m_weightLoadsAtOnce,
-                fmt::format("1 to {}", MostLoadsAtOnce));
+                fmt::format("1 to {}", MaxLoadsAtOnce));
         return std::move(m_problems);
     }
 
@@ -126,7 +126,7 @@
             const std::string label = fmt::format("{} {}", kind, name);
             if (!isName(name))
                 add(label, "name", fmt::format("\"{}\"", name),
-                    fmt::format("1 to {} of letters, digits, '.', '_' and '-'", LongestName));
+                    fmt::format("1 to {} of letters, digits, '.', '_' and '-'", MaxNameLength));
             if (!seen.insert(name).second)
                 add(label, "name", "the name twice", "each name once");
         }
@@ -136,7 +136,7 @@
                     const Names &known)
     {
         if (!known.count(name))
-            add(entity, field, fmt::format("\"{}\"", name), listed(known));
+            add(entity, field, fmt::format("\"{}\"", name), joinNames(known));
     }
 
     void checkAddress(const std::string &entity, const char *field, const std::string &address)
@@ -193,8 +193,8 @@
             checkDistinct(entity, "adapters", model.m_adapters);
             if (model.m_maxTokens == 0)
                 add(entity, "max_tokens", 0, "at least 1");
-            if (model.m_maxSpan < 1 || model.m_maxSpan > MostSpan)
-                add(entity, "max_span", model.m_maxSpan, fmt::format("1 to {}", MostSpan));
+            if (model.m_maxSpan < 1 || model.m_maxSpan > MaxSpan)
+                add(entity, "max_span", model.m_maxSpan, fmt::format("1 to {}", MaxSpan));
             checkReplicas(model, entity);
         }
     }
@@ -228,8 +228,8 @@
             const std::string entity = "endpoint " + endpoint.m_id.str();
             checkKnown(entity, "data_centre", endpoint.m_dataCentre.str(), m_dataCentres);
             checkAddress(entity, "address", endpoint.m_address);
-            const auto [first, fresh] = addresses.emplace(endpoint.m_address, entity);
-            if (!fresh)
+            const auto [first, isNew] = addresses.emplace(endpoint.m_address, entity);
+            if (!isNew)
                 add(entity, "address", endpoint.m_address,
                     "one that is not " + first->second + "'s");
             if (endpoint.m_kind == EndpointKind::Engine)
@@ -264,9 +264,9 @@
                     "0 (no limit) or more");
             if (!(customer.m_share > 0) || !std::isfinite(customer.m_share))
                 add(entity, "share", customer.m_share, "more than 0");
-            if (customer.m_priority < LowestPriority || customer.m_priority > HighestPriority)
+            if (customer.m_priority < MinPriority || customer.m_priority > MaxPriority)
                 add(entity, "priority", customer.m_priority,
-                    fmt::format("{} to {}", LowestPriority, HighestPriority));
+                    fmt::format("{} to {}", MinPriority, MaxPriority));
             checkGuarantees(customer, entity);
         }
     }
@@ -317,8 +317,9 @@
             for (const std::string &hash : customer.m_keyHashes)
                 checkKey("customer " + customer.m_id.str(), "key_hashes", hash, owners);
         }
-        for (const Operator &person : m_intent.m_operators)
-            checkKey("operator " + person.m_name, "key_hash", person.m_keyHash, owners);
+        for (const Operator &operatorEntry : m_intent.m_operators)
+            checkKey("operator " + operatorEntry.m_name, "key_hash", operatorEntry.m_keyHash,
+                     owners);
     }
 
     void checkKey(const std::string &entity, const char *field, const std::string &hash,
@@ -327,8 +328,8 @@
         if (!isKeyHash(hash))
             return add(entity, field, fmt::format("\"{}\"", hash),
                        fmt::format("SHA-256 in {} hex digits", KeyHashLength));
-        const auto [first, fresh] = owners.emplace(hash, entity);
-        if (!fresh)
+        const auto [first, isNew] = owners.emplace(hash, entity);
+        if (!isNew)
             add(entity, field, hash.substr(0, 8) + "...",
                 "one that is not used already by " + first->second);
     }
--- a/policy/intent_check.h
+++ b/policy/intent_check.h
@@ -1,4 +1,4 @@
-/// Checks of a whole intent before it is accepted.
+/// Validates a whole intent before it is accepted.
 #pragma once
 
 #include <string>
@@ -8,20 +8,22 @@
 
 namespace stackquay {
 
-/// One thing that is wrong with an intent.
+/// One validation error of an intent.
 struct IntentProblem {
     std::string m_entity; ///< Kind and name, such as "model hint-forge".
-    std::string m_field; ///< Name in the operators' language, such as "replicas".
-    std::string m_found;
-    std::string m_allowed;
+    std::string m_field; ///< Name as operators write it, such as "replicas".
+    std::string m_found; ///< The invalid value, as text.
+    std::string m_allowed; ///< Which values are allowed, as text.
 
     bool operator==(const IntentProblem &) const = default;
 };
 
+/// Message for operators, such as
 /// "model hint-forge, replicas: found 9 in dundee-hall, allowed up to 7, its engines there."
 std::string toString(const IntentProblem &problem);
 
-/// Every problem of the intent, in the order of its entities; empty if it may be accepted.
+/// All problems of the intent, grouped by check and in the order of its entities; empty if it is
+/// valid.
 std::vector<IntentProblem> checkIntent(const Intent &intent);
 
 } // namespace stackquay
--- a/policy/intent_fields.h
+++ b/policy/intent_fields.h
@@ -1,7 +1,7 @@
-/// The names of the intent's fields, each given once: codec and language both use them.
+/// Names of the intent's fields, defined once for the JSON codec and the operators' language.
 ///
 /// Internal to the policy library. visitFields(object, visit) calls visit(name, member) for each
-/// field, in the order in which it is printed; the object may be const.
+/// field, in the order in which fields are printed. The object may be const.
 #pragma once
 
 #include <array>
--- a/policy/intent_json.cpp
+++ b/policy/intent_json.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr size_t ShownCharacters = 60; ///< Longest piece of a wrong value in an error.
+constexpr size_t MaxValueLength = 60; ///< An invalid value is cut to this in an error message.
 
 template<typename T>
 concept Struct = requires(const T &object)
@@ -20,7 +20,7 @@
     visitFields(object, [](auto &&...) {});
 };
 
-/// Writes each type of field.
+/// Converts each type of field to JSON.
 struct Writer {
     template<typename Tag>
     static IntentJson write(const Id<Tag> &id)
@@ -76,15 +76,15 @@
     }
 };
 
-std::string shown(const IntentJson &json)
+std::string shortened(const IntentJson &json)
 {
     std::string text = json.dump(-1, ' ', false, IntentJson::error_handler_t::replace);
-    if (text.size() > ShownCharacters)
-        text = text.substr(0, ShownCharacters) + "...";
+    if (text.size() > MaxValueLength)
+        text = text.substr(0, MaxValueLength) + "...";
     return text;
 }
 
-/// Reads each type of field; keeps the first error.
+/// Reads each type of field from JSON; stores the first error.
 class Reader
 {
 public:
@@ -103,7 +103,7 @@
     void read(const IntentJson &json, const std::string &path, std::string &text)
     {
         if (!json.is_string())
-            return fail(path, json, "a text");
+            return fail(path, json, "a string");
         text = json.get<std::string>();
     }
 
@@ -124,13 +124,14 @@
     template<std::integral T>
     void read(const IntentJson &json, const std::string &path, T &value)
     {
-        constexpr T Lowest = std::numeric_limits<T>::min();
-        constexpr T Highest = std::numeric_limits<T>::max();
-        const bool fits = json.is_number_unsigned()
-                              ? std::in_range<T>(json.get<uint64_t>())
-                              : json.is_number_integer() && std::in_range<T>(json.get<int64_t>());
-        if (!fits)
-            return fail(path, json, fmt::format("a whole number from {} to {}", Lowest, Highest));
+        constexpr T Min = std::numeric_limits<T>::min();
+        constexpr T Max = std::numeric_limits<T>::max();
+        const bool inRange =
+            json.is_number_unsigned()
+                ? std::in_range<T>(json.get<uint64_t>())
+                : json.is_number_integer() && std::in_range<T>(json.get<int64_t>());
+        if (!inRange)
+            return fail(path, json, fmt::format("a whole number from {} to {}", Min, Max));
         value = json.get<T>();
     }
 
@@ -193,7 +194,7 @@
     }
 
 private:
-    /// Entities are named in paths, other items are counted.
+    /// Path of a list item: by its name or data centre if it has one, else by index.
     static std::string itemPath(const std::string &path, const IntentJson &item, size_t index)
     {
         for (const char *key : { "name", "data_centre" }) {
@@ -211,7 +212,7 @@
         for (const auto &[name, value] : json.items()) {
             if (std::find(known.begin(), known.end(), name) == known.end()) {
                 const std::string allowed = fmt::format("{}", fmt::join(known, ", "));
-                return fail(prefix + name, value, "no such field, but " + allowed);
+                return fail(prefix + name, value, "only the fields " + allowed);
             }
         }
     }
@@ -221,14 +222,14 @@
         if (m_error)
             return;
         m_error = fmt::format("{}: found {}, allowed {}", path.empty() ? "intent" : path,
-                              shown(found), allowed);
+                              shortened(found), allowed);
     }
 
     UnknownFields m_unknown;
     std::optional<std::string> m_error;
 };
 
-/// Line and column, from 1, of a byte of the text.
+/// Line and column, from 1, of the byte at this offset of the text.
 std::string position(std::string_view text, size_t byte)
 {
     const std::string_view before = text.substr(0, std::min(byte, text.size()));
@@ -266,7 +267,8 @@
         return intentFromJson(IntentJson::parse(text), unknown);
     } catch (const IntentJson::parse_error &error) {
         const size_t byte = error.byte > 0 ? error.byte - 1 : 0;
-        return makeError(ErrorCode::InvalidArgument, "No JSON at " + position(text, byte) + ".");
+        return makeError(ErrorCode::InvalidArgument,
+                         "Invalid JSON at " + position(text, byte) + ".");
     }
 }
 
--- a/policy/intent_json.h
+++ b/policy/intent_json.h
@@ -1,8 +1,7 @@
-/// JSON form of the intent: whole and lossless, errors with the path of the bad field.
+/// Lossless JSON codec of the intent. Errors name the path of the invalid field.
 ///
-/// The form is an object with "revision", "weight_loads_at_once" and one array per kind of entity;
-/// field names are those of the operators' language. Optional fields that are absent keep their
-/// defaults.
+/// The JSON is an object with "revision", "weight_loads_at_once" and one array for each kind of
+/// entity; field names are those of the operators' language. Absent fields keep their defaults.
 #pragma once
 
 #include <string>
@@ -14,26 +13,26 @@
 
 namespace stackquay {
 
-/// What to do with a field that this version does not know.
+/// How to treat fields that this version of the program does not define.
 enum class UnknownFields {
-    Refuse, ///< For what operators write.
-    Ignore, ///< For snapshots that a newer version may have written.
+    Refuse, ///< For input of operators.
+    Ignore, ///< For snapshots, which a newer version may have written.
 };
 
-/// Key order is kept as declared, so that printed entities read well.
+/// Keeps the order of fields, so that printed entities are easy to read.
 using IntentJson = nlohmann::ordered_json;
 
 IntentJson intentToJson(const Intent &intent);
 
-/// InvalidArgument names the field, what was found and what is allowed, such as
+/// Errors are InvalidArgument with the field, the value found and the allowed values, such as
 /// `models[hint-forge].max_span: found "two", allowed a whole number from 0 to 4294967295`.
 Result<Intent> intentFromJson(const IntentJson &json,
                               UnknownFields unknown = UnknownFields::Refuse);
 
-/// One line of JSON.
+/// The intent as one line of JSON.
 std::string encodeIntent(const Intent &intent);
 
-/// As intentFromJson(); text that is no JSON is named with its line and column.
+/// As intentFromJson(). If the text is not valid JSON, the error gives the line and column.
 Result<Intent> decodeIntent(std::string_view text, UnknownFields unknown = UnknownFields::Refuse);
 
 } // namespace stackquay
--- a/policy/policy.h
+++ b/policy/policy.h
@@ -1,4 +1,4 @@
-/// Public header of the policy library: pure decisions, no I/O, clock or thread.
+/// Public header of the policy library: decisions as pure code, without I/O, clocks or threads.
 #pragma once
 
 #include "policy/admission.h"
--- a/tests/policy/intent_check_test.cpp
+++ b/tests/policy/intent_check_test.cpp
@@ -42,7 +42,7 @@
     std::string m_problem;
 };
 
-// NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest asks for.
+// NOLINTNEXTLINE(readability-identifier-naming): GoogleTest requires this name.
 void PrintTo(const Fault &fault, std::ostream *out)
 {
     *out << fault.m_name;
@@ -51,12 +51,12 @@
 class IntentFault : public testing::TestWithParam<Fault>
 { };
 
-TEST(IntentCheck, acceptsASoundIntent)
+TEST(IntentCheck, acceptsAValidIntent)
 {
     EXPECT_EQ(checkIntent(smallIntent()), std::vector<IntentProblem>());
 }
 
-TEST_P(IntentFault, isNamedWithFoundAndAllowed)
+TEST_P(IntentFault, isReportedWithFoundAndAllowedValues)
 {
     Intent intent = smallIntent();
     GetParam().m_apply(intent);
--- a/tests/policy/intent_json_test.cpp
+++ b/tests/policy/intent_json_test.cpp
@@ -26,7 +26,7 @@
 class Example : public testing::TestWithParam<std::string>
 { };
 
-TEST_P(Example, isAcceptedAndSurvivesARoundTrip)
+TEST_P(Example, isValidAndSurvivesARoundTrip)
 {
     const Intent intent = exampleIntent(GetParam());
     EXPECT_EQ(checkIntent(intent), std::vector<IntentProblem>());
@@ -86,7 +86,7 @@
     return intent ? "accepted" : intent.error().m_message;
 }
 
-TEST(IntentJson, namesThePathOfABadField)
+TEST(IntentJson, namesThePathOfAnInvalidField)
 {
     EXPECT_EQ(errorOf(R"({"models":[{"name":"m","replicas":[{"data_centre":"d","count":-1}]}]})"),
               "models[m].replicas[d].count: found -1, allowed a whole number from 0 to 4294967295");
@@ -95,11 +95,11 @@
     EXPECT_EQ(errorOf(R"({"objectives":[{"name":"o","length_class":"huge"}]})"),
               "objectives[o].length_class: found \"huge\", allowed short or medium or long or "
               "very-long");
-    EXPECT_EQ(errorOf(R"({"regions":[{"name":5}]})"), "regions[0].name: found 5, allowed a text");
+    EXPECT_EQ(errorOf(R"({"regions":[{"name":5}]})"), "regions[0].name: found 5, allowed a string");
     EXPECT_EQ(errorOf(R"([])"), "intent: found [], allowed an object");
     EXPECT_EQ(errorOf(R"({"regions":[{"nam":"x"}]})"),
-              "regions[0].nam: found \"x\", allowed no such field, but name");
-    EXPECT_EQ(errorOf("{\n \"models\": oops}"), "No JSON at line 2, column 12.");
+              "regions[0].nam: found \"x\", allowed only the fields name");
+    EXPECT_EQ(errorOf("{\n \"models\": oops}"), "Invalid JSON at line 2, column 12.");
 }
 
 TEST(IntentJson, mayIgnoreFieldsOfANewerVersion)
