--- a/policy/reconcile.cpp
+++ b/policy/reconcile.cpp
@@ -28,7 +28,7 @@
     return nullptr;
 }
 
-/// An engine that loads a version of the model is counted as not serving it.
+/// Whether the engine serves any version of the model. While it loads a version, it serves none.
 bool servesAny(const EngineReport &report, const ModelId &model)
 {
     bool serves = false;
@@ -99,7 +99,7 @@
         return loads;
     }
 
-    /// Whether a report already shows what the load brings, loading or done.
+    /// Whether a report already shows the model version or adapter of a load, loading or loaded.
     bool isReported(const OrderKey &key) const
     {
         const EngineReport *report = findReport(key.m_endpoint);
@@ -134,11 +134,12 @@
             planLoad(model, *endpoint, false, progress);
         for (const Endpoint *endpoint : serving)
             planLoad(model, *endpoint, true, progress);
-        planFinished(model);
+        planAdaptersAndUnloads(model);
         m_plan.m_models.push_back(progress);
     }
 
-    /// Counts the engine; whether it lacks the declared version.
+    /// Adds the engine to @p progress. Returns whether it neither has nor loads the declared
+    /// version.
     static bool countEngine(const Model &model, const EngineReport &report, ModelProgress &progress)
     {
         const LoadedModel *current = findVersion(report, model);
@@ -151,19 +152,20 @@
         return !current;
     }
 
+    /// Number of engines that serve the model and have no load order in flight for it.
     uint32_t countServing(const Model &model) const
     {
         uint32_t serving = 0;
         for (const Endpoint &endpoint : m_intent.m_endpoints) {
             const EngineReport *report = findReport(endpoint.m_id);
-            const bool takesPart =
+            const bool eligible =
                 report && isEngineHere(endpoint) && contains(endpoint.m_models, model.m_id);
-            const bool changing =
+            const bool loadInFlight =
                 std::any_of(m_inFlight.begin(), m_inFlight.end(), [&](const OrderKey &key) {
                     return key.m_endpoint == endpoint.m_id && key.m_action == OrderAction::Load
                            && key.m_model == model.m_id && !isReported(key);
                 });
-            serving += takesPart && !changing && servesAny(*report, model.m_id);
+            serving += eligible && !loadInFlight && servesAny(*report, model.m_id);
         }
         return serving;
     }
@@ -175,23 +177,24 @@
     {
         const OrderKey key{ endpoint.m_id, OrderAction::Load, model.m_id, model.m_version, "" };
         if (isInFlight(key)) {
-            add(key, true, "sent before, not yet seen in the engine's state");
+            add(key, true, "sent, not yet in the engine's report");
             return;
         }
-        const bool belowFloor = serves && m_serving <= progress.m_declared;
-        if (belowFloor) {
+        const bool belowMinimum = serves && m_serving <= progress.m_declared;
+        if (belowMinimum) {
             add(key, false,
                 fmt::format("{} serve, {} are declared: none can be spared", m_serving,
                             progress.m_declared));
             return;
         }
-        const bool due = takeBudget(key);
+        const bool due = addLoad(key);
         if (due && serves)
             --m_serving;
     }
 
-    /// Adds a load that is due if the weight store has room for it.
-    bool takeBudget(const OrderKey &key)
+    /// Adds a load, which is due if the weight-store budget has room for it. Returns whether it is
+    /// due.
+    bool addLoad(const OrderKey &key)
     {
         const uint32_t budget = m_intent.m_weightLoadsAtOnce;
         if (m_plan.m_loadsInFlight >= budget) {
@@ -204,8 +207,9 @@
         return true;
     }
 
-    /// Adapters and older versions of the engines that serve the declared version.
-    void planFinished(const Model &model)
+    /// Plans the adapters, and the unloading of other versions, of engines that serve the declared
+    /// version.
+    void planAdaptersAndUnloads(const Model &model)
     {
         for (const Endpoint &endpoint : m_intent.m_endpoints) {
             const EngineReport *report = findReport(endpoint.m_id);
@@ -231,9 +235,9 @@
             const OrderKey key{ endpoint.m_id, OrderAction::LoadAdapter, model.m_id,
                                 model.m_version, adapter };
             if (isInFlight(key))
-                add(key, true, "sent before, not yet seen in the engine's state");
+                add(key, true, "sent, not yet in the engine's report");
             else
-                takeBudget(key);
+                addLoad(key);
         }
         for (const std::string &adapter : current.m_adapters) {
             if (!contains(model.m_adapters, adapter))
@@ -243,7 +247,7 @@
         }
     }
 
-    /// Models that an engine reports and that are not declared for it.
+    /// Plans to unload the models that the engine reports and that are not declared for it.
     void planUndeclared(const Endpoint &endpoint)
     {
         const EngineReport *report = findReport(endpoint.m_id);
@@ -265,7 +269,7 @@
     const DataCentreId &m_dataCentre;
     const EngineReports &m_reports;
     const std::vector<OrderKey> &m_inFlight;
-    uint32_t m_serving = 0; ///< Engines that serve the present model and are not changing.
+    uint32_t m_serving = 0; ///< Engines that serve the current model and will not be loading.
     ReconcilePlan m_plan;
 };
 
--- a/policy/reconcile.h
+++ b/policy/reconcile.h
@@ -1,8 +1,9 @@
-/// Which orders bring the engines of a data centre to what is declared. Pure planning.
+/// Plans the orders that bring the engines of a data centre to the declared state, without I/O.
 ///
-/// Every engine that may serve a model is to hold its declared version and adapters. The model's
-/// replicas are the floor under a version change: an engine that serves gets a load order only if
-/// enough others serve meanwhile. Loads draw on the weight-store budget.
+/// Every engine that may serve a model is to load the declared version and adapters. During a
+/// version change, the declared replica count is a minimum: an engine that serves the model gets a
+/// load order only if enough others serve it in the meantime. The weight-store budget limits the
+/// number of concurrent loads.
 #pragma once
 
 #include <map>
@@ -18,16 +19,16 @@
     UnloadAdapter,
 };
 
-/// "load_adapter", as in the engines' protocol.
+/// Name of the action in the engines' protocol, such as "load_adapter".
 std::string_view orderActionName(OrderAction action);
 
-/// What an order is about; its identity for retries.
+/// Identifies an order; a retry of an order has the same key.
 struct OrderKey {
     EndpointId m_endpoint;
     OrderAction m_action = OrderAction::Load;
     ModelId m_model;
     std::string m_version;
-    std::string m_adapter; ///< For the adapter actions.
+    std::string m_adapter; ///< Empty unless the action concerns an adapter.
 
     auto operator<=>(const OrderKey &) const = default;
 };
@@ -42,36 +43,36 @@
 
 struct EngineReport {
     std::vector<LoadedModel> m_models;
-    uint64_t m_fence = 0; ///< Highest fencing number seen; 0 if it keeps none.
+    uint64_t m_fence = 0; ///< Highest fencing number that the engine saw; 0 if it stores none.
 };
 
-/// Engines that did not answer are absent.
+/// Reports by engine, without engines that did not answer.
 using EngineReports = std::map<EndpointId, EngineReport>;
 
 struct PlannedOrder {
     OrderKey m_key;
-    bool m_due = false; ///< False: waits for what m_reason says.
-    std::string m_reason;
+    bool m_due = false; ///< Whether to send it now; if not, m_reason says what it waits for.
+    std::string m_reason; ///< Why the order is needed or waits, for operators.
 };
 
-/// How far a model is in the data centre.
+/// Progress of a model in the data centre; counts of engines.
 struct ModelProgress {
     ModelId m_model;
-    uint32_t m_declared = 0; ///< Replicas that have to serve.
-    uint32_t m_engines = 0; ///< That may serve it and do not drain.
+    uint32_t m_declared = 0; ///< Declared replicas.
+    uint32_t m_engines = 0; ///< May serve the model and are not draining.
     uint32_t m_current = 0; ///< Serve the declared version.
-    uint32_t m_older = 0; ///< Serve another version only.
-    uint32_t m_loading = 0;
-    uint32_t m_unreachable = 0;
+    uint32_t m_older = 0; ///< Serve only other versions.
+    uint32_t m_loading = 0; ///< Load the declared version.
+    uint32_t m_unreachable = 0; ///< Have no report.
 };
 
 struct ReconcilePlan {
-    std::vector<PlannedOrder> m_orders; ///< In the order in which they are to go out.
+    std::vector<PlannedOrder> m_orders; ///< In sending order.
     std::vector<ModelProgress> m_models;
-    uint32_t m_loadsInFlight = 0;
+    uint32_t m_loadsInFlight = 0; ///< Loads of models and adapters, including those due now.
 };
 
-/// @p inFlight names loads that were sent and that no report shows yet.
+/// @p inFlight are the orders that were sent and that no report shows yet.
 ReconcilePlan planReconcile(const Intent &intent, const DataCentreId &dataCentre,
                             const EngineReports &reports, const std::vector<OrderKey> &inFlight);
 
--- a/tests/policy/reconcile_test.cpp
+++ b/tests/policy/reconcile_test.cpp
@@ -41,7 +41,7 @@
     return reports;
 }
 
-/// "load e0 2, unload e1 1" of the orders that are due.
+/// The orders that are due as text, such as "load e0 2, unload e1 1".
 std::string due(const ReconcilePlan &plan)
 {
     std::string text;
@@ -63,7 +63,7 @@
     EXPECT_EQ(plan.m_models[0].m_current, 3u);
 }
 
-TEST(Reconcile, loadsKeepToTheWeightStoreBudget)
+TEST(Reconcile, loadsStayWithinTheWeightStoreBudget)
 {
     const Intent intent = fleet(5, 4);
     EngineReports reports = all(intent, EngineReport());
@@ -72,7 +72,7 @@
     EXPECT_EQ(due(planReconcile(intent, Here, reports, {})), "load e1 2");
     const std::vector<OrderKey> sent{ { EndpointId("e1"), OrderAction::Load, ModelId("m"), "2",
                                         "" } };
-    // The one that was sent is planned again, with its id; nothing else fits beside it.
+    // The load that was sent is planned again, and the budget has no room for another.
     EXPECT_EQ(due(planReconcile(intent, Here, reports, sent)), "load e1 2");
 }
 
@@ -91,7 +91,7 @@
     EXPECT_EQ(due(planReconcile(fleet(4, 4), Here, all(intent, reporting({ "1" })), {})), "");
 }
 
-TEST(Reconcile, rollingChangeEndsWithoutEverFallingBelowTheFloor)
+TEST(Reconcile, rollingUpdateKeepsTheDeclaredReplicas)
 {
     const Intent intent = fleet(7, 5);
     EngineReports reports = all(intent, reporting({ "1" }));
@@ -99,7 +99,7 @@
     for (bool done = false; !done && rounds < 50; ++rounds) {
         const ReconcilePlan plan = planReconcile(intent, Here, reports, {});
         done = plan.m_orders.empty() && plan.m_loadsInFlight == 0;
-        // What loaded in the round before is done; an engine serves nothing while it loads.
+        // Loads of the previous round are complete. An engine serves nothing while it loads.
         for (auto &[id, report] : reports) {
             for (LoadedModel &loaded : report.m_models)
                 loaded.m_loading = false;
@@ -138,7 +138,7 @@
               "load_adapter e0 a, unload_adapter e0 old, unload e0 9");
 }
 
-TEST(Reconcile, leavesDrainingUnreachableAndForeignEnginesAlone)
+TEST(Reconcile, skipsDrainingUnreachableAndForeignEngines)
 {
     Intent intent = fleet(3, 1);
     intent.m_endpoints[0].m_draining = true;
