--- a/policy/retry.cpp
+++ b/policy/retry.cpp
@@ -7,42 +7,43 @@
 
 namespace {
 
-constexpr uint32_t MaxDoublings = 20;
+constexpr uint32_t MaxDoublings = 20; ///< Of the backoff; keeps the shift within 64 bits.
 
+/// Applies the decay of the balance above m_decayFloor since the last update.
 void decay(const RetrySettings &settings, RetryBalance &balance, TimePoint now)
 {
     const Duration passed = now - balance.m_updated;
     balance.m_updated = std::max(balance.m_updated, now);
-    const double decaying = balance.m_units - settings.m_keptBalance;
+    const double decaying = balance.m_units - settings.m_decayFloor;
     if (passed <= Duration{} || decaying <= 0)
         return;
     const double halfLives =
         std::chrono::duration<double>(passed) / std::chrono::duration<double>(settings.m_halfLife);
-    balance.m_units = settings.m_keptBalance + decaying * std::exp2(-halfLives);
+    balance.m_units = settings.m_decayFloor + decaying * std::exp2(-halfLives);
 }
 
-void payIn(const RetrySettings &settings, RetryBalance &balance, double units, TimePoint now)
+void credit(const RetrySettings &settings, RetryBalance &balance, double units, TimePoint now)
 {
     decay(settings, balance, now);
     balance.m_units = std::min(balance.m_units + units, settings.m_capacity);
 }
 
-void payInBoth(RetryBudgets &budgets, const CustomerId &customer, double units, TimePoint now)
+void creditBoth(RetryBudgets &budgets, const CustomerId &customer, double units, TimePoint now)
 {
-    payIn(budgets.m_settings, budgets.m_node, units, now);
-    payIn(budgets.m_settings, budgets.m_customers[customer], units, now);
+    credit(budgets.m_settings, budgets.m_node, units, now);
+    credit(budgets.m_settings, budgets.m_customers[customer], units, now);
 }
 
 } // namespace
 
 void countAdmission(RetryBudgets &budgets, const CustomerId &customer, TimePoint now)
 {
-    payInBoth(budgets, customer, budgets.m_settings.m_perAdmission, now);
+    creditBoth(budgets, customer, budgets.m_settings.m_unitsPerAdmission, now);
 }
 
 void countSuccess(RetryBudgets &budgets, const CustomerId &customer, TimePoint now)
 {
-    payInBoth(budgets, customer, budgets.m_settings.m_perSuccess, now);
+    creditBoth(budgets, customer, budgets.m_settings.m_unitsPerSuccess, now);
 }
 
 bool withdrawRetry(RetryBudgets &budgets, const CustomerId &customer, TimePoint now)
--- a/policy/retry.h
+++ b/policy/retry.h
@@ -1,10 +1,10 @@
-/// Retries: when a failed attempt may be followed by another, how many a customer may cause on one
-/// node, and how long to wait before each.
+/// Retries: whether a failed attempt may be followed by another, how many retries a customer may
+/// cause on one node, and how long to wait before each.
 ///
-/// A retry after an attempt that reached an endpoint costs one unit of a budget. The budget is paid
-/// in by successes and, as a floor, by a small fraction of all admitted requests, so that a total
-/// outage cannot be multiplied. A retry after an attempt of which no byte was sent is free, as it
-/// adds no load to an endpoint; the number of attempts alone bounds it.
+/// A retry after an attempt that reached an endpoint costs one unit of a budget. Successful
+/// requests and, as a minimum, all admitted requests each credit a fraction of a unit, so that
+/// retries cannot multiply the load during a total outage. A retry after an attempt that sent no
+/// byte is free, as that attempt put no load on an endpoint; only the number of attempts limits it.
 #pragma once
 
 #include <unordered_map>
@@ -15,50 +15,53 @@
 namespace stackquay {
 
 struct RetrySettings {
-    double m_perSuccess = 0.1; ///< Paid in by each request that completes.
-    double m_perAdmission = 0.05; ///< Paid in by each admitted request, whatever becomes of it.
-    double m_capacity = 20; ///< Largest balance.
-    double m_keptBalance = 1; ///< The part of a balance that does not decay.
-    Duration m_halfLife = Seconds(3); ///< Of the rest; limits the burst when an outage begins.
-    uint32_t m_maxAttempts = 3; ///< For one request, the first one included.
-    Duration m_backoffBase = Millis(50);
-    Duration m_backoffCap = Seconds(2);
+    double m_unitsPerSuccess = 0.1; ///< Units credited by each request that completes.
+    double m_unitsPerAdmission =
+        0.05; ///< Units credited by each admitted request, whatever its outcome.
+    double m_capacity = 20; ///< Max balance, in units.
+    double m_decayFloor = 1; ///< The balance above this decays, in units.
+    Duration m_halfLife =
+        Seconds(3); ///< Of the decay, which limits the burst when an outage starts.
+    uint32_t m_maxAttempts = 3; ///< For one request, including the first.
+    Duration m_backoffBase = Millis(50); ///< Max wait before the first retry.
+    Duration m_backoffCap = Seconds(2); ///< Max wait before any retry.
 };
 
-/// A token bucket that decays.
+/// Balance of a retry budget, a token bucket whose content decays.
 struct RetryBalance {
     double m_units = 0;
-    TimePoint m_updated{};
+    TimePoint m_updated{}; ///< Up to when the decay has been applied.
 };
 
-/// All retry budgets of one node: one for each customer, and one for them together.
+/// All retry budgets of one node: one for each customer, and one for the whole node.
 struct RetryBudgets {
     RetrySettings m_settings;
     RetryBalance m_node;
     std::unordered_map<CustomerId, RetryBalance> m_customers;
 };
 
-/// A request of @p customer was admitted.
+/// Credits both budgets for an admitted request of @p customer.
 void countAdmission(RetryBudgets &budgets, const CustomerId &customer, TimePoint now);
 
-/// A request of @p customer completed.
+/// Credits both budgets for a completed request of @p customer.
 void countSuccess(RetryBudgets &budgets, const CustomerId &customer, TimePoint now);
 
-/// Takes one unit from both of the customer's and the node's budget; false, and nothing taken, if
-/// either has less.
+/// Withdraws one unit from both the customer's and the node's budget. Returns false and withdraws
+/// nothing if either balance is below one unit.
 bool withdrawRetry(RetryBudgets &budgets, const CustomerId &customer, TimePoint now);
 
-/// Full jitter: uniform between zero and the base doubled for each attempt made, up to the cap.
+/// Exponential backoff with full jitter: a random wait between zero and a limit, which is the base
+/// for the first retry and doubles with each further attempt, up to the cap.
 Duration retryBackoff(const RetrySettings &settings, uint32_t attemptsMade, RandomEngine &random);
 
-/// A failed attempt, and what the request would need for another.
+/// A failed attempt of a request, and what another attempt would need.
 struct RetryQuestion {
     CustomerId m_customer;
     Outcome m_outcome = Outcome::FailedMayHaveRun; ///< Of the last attempt.
-    bool m_repeatable = true;
-    bool m_anyByteSent = true; ///< In any attempt of this request so far.
-    bool m_lastByteSent = true; ///< In the last attempt.
-    uint32_t m_attemptsMade = 1;
+    bool m_repeatable = true; ///< Whether the request may run more than once.
+    bool m_anyByteSent = true; ///< Whether any attempt of this request sent a byte.
+    bool m_lastByteSent = true; ///< Whether the last attempt sent a byte.
+    uint32_t m_attemptsMade = 1; ///< Including the first.
     TimePoint m_deadline{};
     Duration m_backoff{}; ///< Wait before the next attempt.
     Duration m_needed{}; ///< Predicted time of the next attempt; zero if not known.
@@ -69,14 +72,15 @@
     NotNeeded, ///< The request is complete.
     NotRepeatable, ///< A byte of a non-repeatable request was sent.
     AttemptsUsedUp,
-    NoTime, ///< The deadline would pass.
+    NoTime, ///< Another attempt would end after the deadline.
     BudgetUsedUp,
 };
 
-/// Decides on another attempt. A unit of budget is taken only if the answer is Retry and the last
-/// attempt sent a byte.
+/// Decides whether to make another attempt. Withdraws a unit from the budgets only if the result is
+/// Retry and the last attempt sent a byte.
 RetryDecision mayRetry(RetryBudgets &budgets, const RetryQuestion &question, TimePoint now);
 
+/// Name of a decision in logs, such as "no_time".
 std::string_view retryDecisionName(RetryDecision decision);
 
 } // namespace stackquay
--- a/policy/retry_window.cpp
+++ b/policy/retry_window.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-void forgetBefore(std::deque<TimePoint> &moments, TimePoint start)
+void removeBefore(std::deque<TimePoint> &times, TimePoint start)
 {
-    while (!moments.empty() && moments.front() < start)
-        moments.pop_front();
+    while (!times.empty() && times.front() < start)
+        times.pop_front();
 }
 
 } // namespace
@@ -17,7 +17,7 @@
 void countArrival(RetryWindows &windows, const ServiceId &service, TimePoint now)
 {
     RetryWindow &window = windows.m_services[service];
-    forgetBefore(window.m_requests, now - windows.m_settings.m_window);
+    removeBefore(window.m_requests, now - windows.m_settings.m_window);
     window.m_requests.push_back(now);
 }
 
@@ -25,11 +25,11 @@
 {
     const RetryWindowSettings &settings = windows.m_settings;
     RetryWindow &window = windows.m_services[service];
-    forgetBefore(window.m_requests, now - settings.m_window);
-    forgetBefore(window.m_repeats, now - settings.m_window);
+    removeBefore(window.m_requests, now - settings.m_window);
+    removeBefore(window.m_repeats, now - settings.m_window);
     const double slack = settings.m_slack / std::max(settings.m_sharers, 1u);
     const double allowed =
-        settings.m_safety
+        settings.m_safetyFactor
         * (settings.m_ratio * static_cast<double>(window.m_requests.size()) + slack);
     return static_cast<double>(window.m_repeats.size()) + 1 <= allowed;
 }
--- a/policy/retry_window.h
+++ b/policy/retry_window.h
@@ -1,8 +1,8 @@
-/// Budget of repeated sends for a whole fleet, kept by each VM on its own.
+/// Retry budget of a whole fleet, enforced by each VM on its own.
 ///
-/// In any window, the fleet may send a service at most `ratio` times the clients' requests for it,
-/// plus a fixed slack, beyond the first send of each request. A VM spends the ratio of its own
-/// requests and an equal part of the slack, so that the sum over all VMs holds without messages.
+/// In any time window, the fleet may send a service at most `ratio` times the clients' requests for
+/// it, plus a fixed allowance, as retries. Each VM uses the ratio of its own requests and an equal
+/// part of the allowance, so the sum over all VMs stays within the budget without messages.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +14,33 @@
 namespace stackquay {
 
 struct RetryWindowSettings {
-    double m_ratio = 0.1;
-    double m_slack = 10; ///< Of the whole fleet.
-    uint32_t m_sharers = 1; ///< The most VMs that the slack is divided by.
+    double m_ratio = 0.1; ///< Retries per client request.
+    double m_slack = 10; ///< Fixed allowance of the whole fleet, in retries per window.
+    uint32_t m_sharers = 1; ///< Max number of VMs that share m_slack.
     Duration m_window = Seconds(10);
-    double m_safety = 0.8; ///< Part that is used, as windows of VMs and judges do not align.
+    /// Fraction of the budget that is used, as the windows of the VMs and of an observer of the
+    /// fleet are not aligned.
+    double m_safetyFactor = 0.8;
 };
 
-/// Sends to one service, of one VM.
+/// Recent requests and retries of one VM for one service.
 struct RetryWindow {
-    std::deque<TimePoint> m_requests;
-    std::deque<TimePoint> m_repeats;
+    std::deque<TimePoint> m_requests; ///< Arrival times of clients' requests, oldest first.
+    std::deque<TimePoint> m_repeats; ///< Times of retries, oldest first.
 };
 
+/// State of one VM.
 struct RetryWindows {
     RetryWindowSettings m_settings;
     std::unordered_map<ServiceId, RetryWindow> m_services;
 };
 
-/// A client's request for @p service arrived.
+/// Records the arrival of a client's request for @p service.
 void countArrival(RetryWindows &windows, const ServiceId &service, TimePoint now);
 
-/// Whether the budget holds a repeated send to @p service.
+/// Whether the budget allows a retry to @p service now.
 bool repeatsLeft(RetryWindows &windows, const ServiceId &service, TimePoint now);
-/// Takes one repeated send to @p service out of the budget; false if none is left.
+/// Records a retry to @p service and returns true if the budget allows it; else returns false.
 bool takeRepeat(RetryWindows &windows, const ServiceId &service, TimePoint now);
 
 } // namespace stackquay
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -48,7 +48,7 @@
     EXPECT_EQ(mayRetry(budgets, question(), Start), RetryDecision::BudgetUsedUp);
 }
 
-TEST(Retry, NonRepeatableNeverAfterAByte)
+TEST(Retry, NonRepeatableIsNotRetriedAfterAByteWasSent)
 {
     RetryBudgets budgets = filledBudgets();
     RetryQuestion once = question();
@@ -76,7 +76,7 @@
     EXPECT_EQ(mayRetry(budgets, unsent, Start), RetryDecision::AttemptsUsedUp);
 }
 
-TEST(Retry, BalanceDecaysToWhatIsKept)
+TEST(Retry, BalanceDecaysToItsFloor)
 {
     RetryBudgets budgets = filledBudgets();
     EXPECT_NEAR(budgets.m_node.m_units, 10, 1e-9);
@@ -104,10 +104,10 @@
 
 struct OutageResult {
     int m_admitted = 0;
-    int m_reached = 0; ///< Attempts of which a byte was sent.
+    int m_reached = 0; ///< Attempts that sent a byte.
 };
 
-/// Requests of ten customers on one node, all of whose attempts fail.
+/// Simulates requests of ten customers on one node; all attempts fail.
 OutageResult runOutage(RetryBudgets &budgets, TimePoint now, int requests, RandomEngine &random,
                        double unsentFraction)
 {
@@ -133,7 +133,7 @@
     return result;
 }
 
-TEST(Retry, OutageFromAColdStartStaysUnderAFifthAtEveryLength)
+TEST(Retry, RetriesAddLessThanAFifthInAnOutageFromAColdStart)
 {
     for (uint64_t seed = 0; seed < 200; ++seed) {
         RandomEngine random(seed);
@@ -144,7 +144,7 @@
     }
 }
 
-TEST(Retry, OutageAfterHealthyTrafficStaysUnderAFifth)
+TEST(Retry, RetriesAddLessThanAFifthInAnOutageAfterHealthyTraffic)
 {
     for (uint64_t seed = 0; seed < 100; ++seed) {
         RandomEngine random(seed);
