--- a/policy/route_table.cpp
+++ b/policy/route_table.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-void noteAims(RouteTable &table)
+void setLongestAims(RouteTable &table)
 {
     for (const Route &route : table.m_routes) {
-        for (const WeightedService &part : route.m_services) {
-            const auto service = table.m_services.find(part.m_service);
+        for (const WeightedService &weighted : route.m_services) {
+            const auto service = table.m_services.find(weighted.m_service);
             if (service != table.m_services.end())
                 service->second.m_longestAim = std::max(service->second.m_longestAim, route.m_aim);
         }
@@ -22,7 +22,7 @@
 
 void indexRoutes(RouteTable &table)
 {
-    noteAims(table);
+    setLongestAims(table);
     table.m_byHost.clear();
     for (uint32_t i = 0; i < table.m_routes.size(); ++i)
         table.m_byHost[table.m_routes[i].m_host].push_back(i);
--- a/policy/route_table.h
+++ b/policy/route_table.h
@@ -1,6 +1,7 @@
-/// Declared routes of opaque requests: which service answers a host and path, and within what.
+/// Declared routes of opaque requests: which services answer a host and path, and within which
+/// limits.
 ///
-/// One RouteTable is one version of the operator's configuration, whole and immutable.
+/// A RouteTable holds one version of the operator's whole configuration and is immutable.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +16,11 @@
 
 namespace stackquay {
 
-/// What a route allows to happen to one request of a client.
+/// How often one request of a client may run.
 enum class RouteKind {
     Safe, ///< May run any number of times.
     Unsafe, ///< Runs at most once.
-    Stream, ///< A series of events; runs at most once unless the route is resumable.
+    Stream, ///< Answered by a stream of events; runs at most once unless the route is resumable.
 };
 
 struct WeightedService {
@@ -30,16 +31,17 @@
 struct Route {
     std::string m_name;
     std::string m_host;
-    std::string m_pathPrefix; ///< Begins and ends with a slash.
+    std::string m_pathPrefix; ///< Starts and ends with a slash.
     RouteKind m_kind = RouteKind::Safe;
     std::vector<WeightedService> m_services; ///< At least one.
-    Millis m_timeout{ 10'000 }; ///< Longest time until the final answer.
-    Millis m_aim{ 1'000 }; ///< First answer or first event within this earns full credit.
-    Millis m_gapAim{ 0 }; ///< Longest pause between events; zero: none declared.
-    uint32_t m_maxAttempts = 1; ///< Endpoints that one request may be sent to.
-    uint32_t m_priority = 5; ///< 0 is most urgent.
-    bool m_public = false; ///< Needs no key.
-    bool m_resumable = false;
+    Millis m_timeout{ 10'000 }; ///< Max time until the final answer.
+    /// Latency target: a first answer or event within this time earns full credit.
+    Millis m_aim{ 1'000 };
+    Millis m_gapAim{ 0 }; ///< Target for the longest pause between events; zero: none declared.
+    uint32_t m_maxAttempts = 1; ///< Max number of endpoints that one request may be sent to.
+    uint32_t m_priority = 5; ///< 0 is the most urgent.
+    bool m_public = false; ///< Requests need no key.
+    bool m_resumable = false; ///< For streams: one request may run more than once.
 
     /// Whether one request may run more than once.
     bool repeatable() const
@@ -50,12 +52,14 @@
 
 struct DeclaredService {
     ServiceId m_id;
-    uint32_t m_maxConnections = 0; ///< To one endpoint, from all VMs together; zero: not declared.
-    std::optional<EngineCosts> m_engine; ///< Absent: a plain service.
-    Millis m_longestAim{ 0 }; ///< Of the routes that lead to it. Made by indexRoutes().
+    /// Max connections to one endpoint from all VMs together; zero: not declared.
+    uint32_t m_maxConnections = 0;
+    std::optional<EngineCosts> m_engine; ///< No value: a plain service.
+    /// The longest latency target of the routes to this service; set by indexRoutes().
+    Millis m_longestAim{ 0 };
 };
 
-/// Bounds on what clients may send.
+/// Limits on the requests and connections of clients.
 struct ClientLimits {
     uint32_t m_headerBytes = 16 * 1024;
     uint64_t m_bodyBytes = 4 * 1024 * 1024;
@@ -63,10 +67,10 @@
     Millis m_idleTimeout{ 15'000 };
 };
 
-/// A customer's key, with what it gives.
+/// The customer that a key belongs to, and the key's priority.
 struct KeyHolder {
     CustomerId m_customer;
-    std::optional<uint32_t> m_priority; ///< Goes before the route's.
+    std::optional<uint32_t> m_priority; ///< Overrides the priority of the route.
 };
 
 struct RouteTable {
@@ -74,23 +78,27 @@
     std::vector<Route> m_routes;
     std::unordered_map<ServiceId, DeclaredService> m_services;
     ClientLimits m_limits;
-    bool m_hasCustomers = false; ///< Without any, no request needs a key.
+    bool m_hasCustomers = false; ///< False: no request needs a key.
     std::unordered_map<std::string, KeyHolder> m_keys;
-    /// Indices into m_routes by host, longest prefix first. Made by indexRoutes().
+    /// Indices into m_routes by host, longest prefix first; set by indexRoutes().
     std::unordered_map<std::string, std::vector<uint32_t>> m_byHost;
 };
 
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
-/// Builds m_byHost and the services' aims; call once after filling m_routes and m_services.
+/// Sets m_byHost and the latency targets of the services. To be called once after m_routes and
+/// m_services are filled.
 void indexRoutes(RouteTable &table);
 
-/// The route of @p host (a port in it is ignored) whose prefix is the longest that begins @p path.
+/// The route of @p host with the longest prefix that matches @p path; null if there is none. A port
+/// in @p host is ignored. The result points into @p table.
 const Route *findRoute(const RouteTable &table, std::string_view host, std::string_view path);
 
-/// One of the route's services by weight; @p draw is uniform in [0, 1).
+/// Selects one of the route's services with a probability by weight; @p draw is a uniform random
+/// number in [0, 1).
 const ServiceId &drawService(const Route &route, double draw);
 
+/// "safe", "unsafe" or "stream".
 std::string_view routeKindName(RouteKind kind);
 
 } // namespace stackquay
--- a/tests/policy/route_table_test.cpp
+++ b/tests/policy/route_table_test.cpp
@@ -31,7 +31,7 @@
     EXPECT_EQ(findRoute(table, "c", "/x/"), nullptr);
 }
 
-TEST(RouteTableTest, ServicesAreDrawnByWeight)
+TEST(RouteTableTest, ServicesAreSelectedByWeight)
 {
     Route route;
     route.m_services = { { ServiceId("a"), 90 }, { ServiceId("b"), 0 }, { ServiceId("c"), 10 } };
