--- a/policy/deadline.h
+++ b/policy/deadline.h
@@ -17,7 +17,7 @@
     std::array<Millis, static_cast<size_t>(LengthClass::Count)> m_defaultByClass = {
         Millis(30'000), Millis(60'000), Millis(180'000), Millis(600'000)
     };
-    Millis m_maxTimeout{ 900'000 }; ///< Deadlines that callers set are reduced to this.
+    Millis m_maxTimeout{ 900'000 }; ///< Max time from arrival to the deadline.
     /// Predicted times are multiplied by this before they are compared with the deadline.
     double m_safetyFactor = 1.1;
     Millis m_minRetryAfter{ 1'000 };
--- a/policy/limit_slices.h
+++ b/policy/limit_slices.h
@@ -10,16 +10,13 @@
 /// - A node counts the life of a slice from when it sent the request, the steward from when it
 ///   answers, which is later. So the node stops using it first.
 /// - The steward counts the largest of all slices that a node may still hold, until a request of
-/// the
-///   node states which one it holds.
-/// - After a node got a slice, its use of the fallback amount is capped by that slice. This
-/// fallback
-///   cap lasts longer than the slice. The steward relies on it only from its own timestamp, which
-///   the node's request sends back and which is earlier than the start of the node's count; and
-///   only if the cap lasts until the end of the slices that are granted because of it.
+///   the node states which one it holds.
+/// - After a node got a slice, its use of the fallback amount is capped by that slice. This cap
+///   lasts longer than the slice. The steward relies on it only from its own timestamp, which the
+///   node's request sends back and which is earlier than the start of the node's count; and only
+///   if the cap lasts until the end of the slices that are granted because of it.
 /// - A process may use its fallback amount only once it has run for longer than the fallback cap,
-/// so
-///   that the cap of a dead process and the fallback amount of its successor never add up.
+///   so that the cap of a dead process and the fallback amount of its successor never add up.
 /// - At most SliceLimits::m_maxNodes processes run in the data centre at once.
 #pragma once
 
@@ -116,7 +113,7 @@
     CustomerId m_customer;
     SliceNodeId m_node;
     LimitAmount m_fallback;
-    TimePoint m_started{}; ///< When the process started.
+    TimePoint m_started{}; ///< When the node's process started.
 
     uint64_t m_lastNumber = 0; ///< Of the latest request.
     std::array<SentRequest, RecentRequestCount> m_recentRequests{}; ///< By number, as a ring.
--- a/policy/retry.cpp
+++ b/policy/retry.cpp
@@ -68,17 +68,17 @@
     return Duration(wait(random));
 }
 
-RetryDecision mayRetry(RetryBudgets &budgets, const RetryQuestion &question, TimePoint now)
+RetryDecision mayRetry(RetryBudgets &budgets, const RetryQuestion &query, TimePoint now)
 {
-    if (question.m_outcome == Outcome::Complete)
+    if (query.m_outcome == Outcome::Complete)
         return RetryDecision::NotNeeded;
-    if (!question.m_repeatable && (question.m_anyByteSent || question.m_lastByteSent))
+    if (!query.m_repeatable && (query.m_anyByteSent || query.m_lastByteSent))
         return RetryDecision::NotRepeatable;
-    if (question.m_attemptsMade >= budgets.m_settings.m_maxAttempts)
+    if (query.m_attemptsMade >= budgets.m_settings.m_maxAttempts)
         return RetryDecision::AttemptsUsedUp;
-    if (now + question.m_backoff + question.m_needed >= question.m_deadline)
+    if (now + query.m_backoff + query.m_needed >= query.m_deadline)
         return RetryDecision::NoTime;
-    if (question.m_lastByteSent && !withdrawRetry(budgets, question.m_customer, now))
+    if (query.m_lastByteSent && !withdrawRetry(budgets, query.m_customer, now))
         return RetryDecision::BudgetUsedUp;
     return RetryDecision::Retry;
 }
--- a/policy/route_table.h
+++ b/policy/route_table.h
@@ -37,7 +37,7 @@
     Millis m_timeout{ 10'000 }; ///< Max time until the final answer.
     /// Latency target: a first answer or event within this time earns full credit.
     Millis m_aim{ 1'000 };
-    Millis m_gapAim{ 0 }; ///< Target for the longest pause between events; zero: none declared.
+    Millis m_gapAim{ 0 }; ///< Longest tolerated gap between events; zero: none declared.
     uint32_t m_maxAttempts = 1; ///< Max number of endpoints that one request may be sent to.
     uint32_t m_priority = 5; ///< 0 is the most urgent.
     bool m_public = false; ///< Requests need no key.
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -8,7 +8,7 @@
 const TimePoint Start{ Seconds(1'000) };
 const CustomerId Carrick{ "carrick" };
 
-RetryQuestion question()
+RetryQuestion query()
 {
     RetryQuestion result;
     result.m_customer = Carrick;
@@ -27,31 +27,31 @@
 TEST(Retry, RulesInOrder)
 {
     RetryBudgets budgets = filledBudgets();
-    EXPECT_EQ(mayRetry(budgets, question(), Start), RetryDecision::Retry);
+    EXPECT_EQ(mayRetry(budgets, query(), Start), RetryDecision::Retry);
 
-    RetryQuestion complete = question();
+    RetryQuestion complete = query();
     complete.m_outcome = Outcome::Complete;
     EXPECT_EQ(mayRetry(budgets, complete, Start), RetryDecision::NotNeeded);
 
-    RetryQuestion late = question();
+    RetryQuestion late = query();
     late.m_backoff = Seconds(2);
     EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(28)), RetryDecision::NoTime);
     EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(27)), RetryDecision::Retry);
     late.m_needed = Seconds(1);
     EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(27)), RetryDecision::NoTime);
 
-    RetryQuestion often = question();
+    RetryQuestion often = query();
     often.m_attemptsMade = budgets.m_settings.m_maxAttempts;
     EXPECT_EQ(mayRetry(budgets, often, Start), RetryDecision::AttemptsUsedUp);
 
     budgets = {};
-    EXPECT_EQ(mayRetry(budgets, question(), Start), RetryDecision::BudgetUsedUp);
+    EXPECT_EQ(mayRetry(budgets, query(), Start), RetryDecision::BudgetUsedUp);
 }
 
 TEST(Retry, NonRepeatableIsNotRetriedAfterAByteWasSent)
 {
     RetryBudgets budgets = filledBudgets();
-    RetryQuestion once = question();
+    RetryQuestion once = query();
     once.m_repeatable = false;
     for (const Outcome outcome : { Outcome::RefusedNotRun, Outcome::FailedMayHaveRun }) {
         once.m_outcome = outcome;
@@ -68,7 +68,7 @@
 TEST(Retry, UnsentAttemptsCostNoBudget)
 {
     RetryBudgets budgets;
-    RetryQuestion unsent = question();
+    RetryQuestion unsent = query();
     unsent.m_anyByteSent = false;
     unsent.m_lastByteSent = false;
     EXPECT_EQ(mayRetry(budgets, unsent, Start), RetryDecision::Retry);
@@ -176,7 +176,7 @@
             continue;
         }
         failures += 1;
-        RetryQuestion failed = question();
+        RetryQuestion failed = query();
         failed.m_deadline = now + Seconds(30);
         if (mayRetry(budgets, failed, now) == RetryDecision::Retry) {
             retried += 1;
