--- a/policy/retry.cpp
+++ b/policy/retry.cpp
@@ -7,42 +7,43 @@
 
 namespace {
 
-constexpr uint32_t MaxDoublings = 20;
+constexpr uint32_t MaxDoublings = 20; ///< Of the backoff; keeps the shift within 64 bits.
 
+/// Applies the decay of the balance above m_decayFloor since the last update.
 void decay(const RetrySettings &settings, RetryBalance &balance, TimePoint now)
 {
     const Duration passed = now - balance.m_updated;
     balance.m_updated = std::max(balance.m_updated, now);
-    const double decaying = balance.m_units - settings.m_keptBalance;
+    const double decaying = balance.m_units - settings.m_decayFloor;
     if (passed <= Duration{} || decaying <= 0)
         return;
     const double halfLives =
         std::chrono::duration<double>(passed) / std::chrono::duration<double>(settings.m_halfLife);
-    balance.m_units = settings.m_keptBalance + decaying * std::exp2(-halfLives);
+    balance.m_units = settings.m_decayFloor + decaying * std::exp2(-halfLives);
 }
 
-void payIn(const RetrySettings &settings, RetryBalance &balance, double units, TimePoint now)
+void credit(const RetrySettings &settings, RetryBalance &balance, double units, TimePoint now)
 {
     decay(settings, balance, now);
     balance.m_units = std::min(balance.m_units + units, settings.m_capacity);
 }
 
-void payInBoth(RetryBudgets &budgets, const CustomerId &customer, double units, TimePoint now)
+void creditBoth(RetryBudgets &budgets, const CustomerId &customer, double units, TimePoint now)
 {
-    payIn(budgets.m_settings, budgets.m_node, units, now);
-    payIn(budgets.m_settings, budgets.m_customers[customer], units, now);
+    credit(budgets.m_settings, budgets.m_node, units, now);
+    credit(budgets.m_settings, budgets.m_customers[customer], units, now);
 }
 
 } // namespace
 
 void countAdmission(RetryBudgets &budgets, const CustomerId &customer, TimePoint now)
 {
-    payInBoth(budgets, customer, budgets.m_settings.m_perAdmission, now);
+    creditBoth(budgets, customer, budgets.m_settings.m_unitsPerAdmission, now);
 }
 
 void countSuccess(RetryBudgets &budgets, const CustomerId &customer, TimePoint now)
 {
-    payInBoth(budgets, customer, budgets.m_settings.m_perSuccess, now);
+    creditBoth(budgets, customer, budgets.m_settings.m_unitsPerSuccess, now);
 }
 
 bool withdrawRetry(RetryBudgets &budgets, const CustomerId &customer, TimePoint now)
@@ -67,17 +68,17 @@
     return Duration(wait(random));
 }
 
-RetryDecision mayRetry(RetryBudgets &budgets, const RetryQuestion &question, TimePoint now)
+RetryDecision mayRetry(RetryBudgets &budgets, const RetryQuestion &query, TimePoint now)
 {
-    if (question.m_outcome == Outcome::Complete)
+    if (query.m_outcome == Outcome::Complete)
         return RetryDecision::NotNeeded;
-    if (!question.m_repeatable && (question.m_anyByteSent || question.m_lastByteSent))
+    if (!query.m_repeatable && (query.m_anyByteSent || query.m_lastByteSent))
         return RetryDecision::NotRepeatable;
-    if (question.m_attemptsMade >= budgets.m_settings.m_maxAttempts)
+    if (query.m_attemptsMade >= budgets.m_settings.m_maxAttempts)
         return RetryDecision::AttemptsUsedUp;
-    if (now + question.m_backoff + question.m_needed >= question.m_deadline)
+    if (now + query.m_backoff + query.m_needed >= query.m_deadline)
         return RetryDecision::NoTime;
-    if (question.m_lastByteSent && !withdrawRetry(budgets, question.m_customer, now))
+    if (query.m_lastByteSent && !withdrawRetry(budgets, query.m_customer, now))
         return RetryDecision::BudgetUsedUp;
     return RetryDecision::Retry;
 }
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -8,7 +8,7 @@
 const TimePoint Start{ Seconds(1'000) };
 const CustomerId Carrick{ "carrick" };
 
-RetryQuestion question()
+RetryQuestion query()
 {
     RetryQuestion result;
     result.m_customer = Carrick;
@@ -27,31 +27,31 @@
 TEST(Retry, RulesInOrder)
 {
     RetryBudgets budgets = filledBudgets();
-    EXPECT_EQ(mayRetry(budgets, question(), Start), RetryDecision::Retry);
+    EXPECT_EQ(mayRetry(budgets, query(), Start), RetryDecision::Retry);
 
-    RetryQuestion complete = question();
+    RetryQuestion complete = query();
     complete.m_outcome = Outcome::Complete;
     EXPECT_EQ(mayRetry(budgets, complete, Start), RetryDecision::NotNeeded);
 
-    RetryQuestion late = question();
+    RetryQuestion late = query();
     late.m_backoff = Seconds(2);
     EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(28)), RetryDecision::NoTime);
     EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(27)), RetryDecision::Retry);
     late.m_needed = Seconds(1);
     EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(27)), RetryDecision::NoTime);
 
-    RetryQuestion often = question();
+    RetryQuestion often = query();
     often.m_attemptsMade = budgets.m_settings.m_maxAttempts;
     EXPECT_EQ(mayRetry(budgets, often, Start), RetryDecision::AttemptsUsedUp);
 
     budgets = {};
-    EXPECT_EQ(mayRetry(budgets, question(), Start), RetryDecision::BudgetUsedUp);
+    EXPECT_EQ(mayRetry(budgets, query(), Start), RetryDecision::BudgetUsedUp);
 }
 
-TEST(Retry, NonRepeatableNeverAfterAByte)
+TEST(Retry, NonRepeatableIsNotRetriedAfterAByteWasSent)
 {
     RetryBudgets budgets = filledBudgets();
-    RetryQuestion once = question();
+    RetryQuestion once = query();
     once.m_repeatable = false;
     for (const Outcome outcome : { Outcome::RefusedNotRun, Outcome::FailedMayHaveRun }) {
         once.m_outcome = outcome;
@@ -68,7 +68,7 @@
 TEST(Retry, UnsentAttemptsCostNoBudget)
 {
     RetryBudgets budgets;
-    RetryQuestion unsent = question();
+    RetryQuestion unsent = query();
     unsent.m_anyByteSent = false;
     unsent.m_lastByteSent = false;
     EXPECT_EQ(mayRetry(budgets, unsent, Start), RetryDecision::Retry);
@@ -76,7 +76,7 @@
     EXPECT_EQ(mayRetry(budgets, unsent, Start), RetryDecision::AttemptsUsedUp);
 }
 
-TEST(Retry, BalanceDecaysToWhatIsKept)
+TEST(Retry, BalanceDecaysToItsFloor)
 {
     RetryBudgets budgets = filledBudgets();
     EXPECT_NEAR(budgets.m_node.m_units, 10, 1e-9);
@@ -104,10 +104,10 @@
 
 struct OutageResult {
     int m_admitted = 0;
-    int m_reached = 0; ///< Attempts of which a byte was sent.
+    int m_reached = 0; ///< Attempts that sent a byte.
 };
 
-/// Requests of ten customers on one node, all of whose attempts fail.
+/// Simulates requests of ten customers on one node; all attempts fail.
 OutageResult runOutage(RetryBudgets &budgets, TimePoint now, int requests, RandomEngine &random,
                        double unsentFraction)
 {
@@ -133,7 +133,7 @@
     return result;
 }
 
-TEST(Retry, OutageFromAColdStartStaysUnderAFifthAtEveryLength)
+TEST(Retry, RetriesAddLessThanAFifthInAnOutageFromAColdStart)
 {
     for (uint64_t seed = 0; seed < 200; ++seed) {
         RandomEngine random(seed);
@@ -144,7 +144,7 @@
     }
 }
 
-TEST(Retry, OutageAfterHealthyTrafficStaysUnderAFifth)
+TEST(Retry, RetriesAddLessThanAFifthInAnOutageAfterHealthyTraffic)
 {
     for (uint64_t seed = 0; seed < 100; ++seed) {
         RandomEngine random(seed);
@@ -176,7 +176,7 @@
             continue;
         }
         failures += 1;
-        RetryQuestion failed = question();
+        RetryQuestion failed = query();
         failed.m_deadline = now + Seconds(30);
         if (mayRetry(budgets, failed, now) == RetryDecision::Retry) {
             retried += 1;
