--- a/relay/condemned_record.cpp
+++ b/relay/condemned_record.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-/// A hundred bytes each; a condemned request comes from a fault that people mend.
-constexpr size_t MostCondemned = 64;
+/// An entry takes about 100 bytes. Quarantined requests are rare: each one points to a bug that
+/// people fix.
+constexpr size_t MaxEntries = 64;
 constexpr const char *ObjectName = "condemned";
-/// A store that is away is asked this often by the one or few VMs that have something to write.
+/// Only the few VMs with pending writes retry while the store is unavailable.
 constexpr Millis RetryPeriod{ 1'000 };
 
 int64_t millisOf(WallTime time)
@@ -21,17 +22,17 @@
     return std::chrono::duration_cast<Millis>(time.time_since_epoch()).count();
 }
 
-bool says(const SuspectNews &known, const SuspectNews &news)
+bool covers(const SuspectNews &known, const SuspectNews &news)
 {
     return known.m_ends.size() >= news.m_ends.size() && known.m_trials >= news.m_trials;
 }
 
-/// Whether @p known leaves nothing of @p news unsaid.
-bool saysAll(const std::vector<SuspectNews> &known, const std::vector<SuspectNews> &news)
+/// Whether @p known contains everything that @p news reports.
+bool coversAll(const std::vector<SuspectNews> &known, const std::vector<SuspectNews> &news)
 {
     return std::all_of(news.begin(), news.end(), [&known](const SuspectNews &one) {
         return std::any_of(known.begin(), known.end(), [&one](const SuspectNews &other) {
-            return other.m_print == one.m_print && says(other, one);
+            return other.m_print == one.m_print && covers(other, one);
         });
     });
 }
@@ -62,10 +63,10 @@
 
 } // namespace
 
-std::string writeCondemned(const std::vector<SuspectNews> &condemned, WallTime now)
+std::string encodeQuarantined(const std::vector<SuspectNews> &quarantined, WallTime now)
 {
     Json entries = Json::array();
-    for (const SuspectNews &news : condemned) {
+    for (const SuspectNews &news : quarantined) {
         entries.push_back({ { "print", toString(news.m_print) },
                             { "ends", news.m_ends },
                             { "trials", news.m_trials },
@@ -74,7 +75,7 @@
     return Json({ { "condemned", entries } }).dump();
 }
 
-Result<std::vector<SuspectNews>> readCondemned(const std::string &spec, WallTime now)
+Result<std::vector<SuspectNews>> decodeQuarantined(const std::string &spec, WallTime now)
 {
     const auto object = parseJsonObject(spec);
     if (!object)
@@ -82,18 +83,18 @@
     const auto entries = object->find("condemned");
     if (entries == object->end() || !entries->is_array())
         return makeError(ErrorCode::InvalidArgument, "no list of condemned requests");
-    std::vector<SuspectNews> condemned;
+    std::vector<SuspectNews> quarantined;
     for (const Json &entry : *entries) {
         auto news = readEntry(entry, now);
         if (!news)
             return tl::unexpected(news.error());
-        condemned.push_back(std::move(*news));
+        quarantined.push_back(std::move(*news));
     }
-    return condemned;
+    return quarantined;
 }
 
-std::vector<SuspectNews> joinCondemned(std::vector<SuspectNews> one,
-                                       const std::vector<SuspectNews> &other)
+std::vector<SuspectNews> mergeQuarantined(std::vector<SuspectNews> one,
+                                          const std::vector<SuspectNews> &other)
 {
     for (const SuspectNews &news : other) {
         const auto known = std::find_if(one.begin(), one.end(), [&news](const SuspectNews &entry) {
@@ -101,18 +102,18 @@
         });
         if (known == one.end())
             one.push_back(news);
-        else if (!says(*known, news))
+        else if (!covers(*known, news))
             *known = news;
     }
     std::stable_sort(one.begin(), one.end(), [](const SuspectNews &left, const SuspectNews &right) {
         return left.m_ageMs < right.m_ageMs;
     });
-    if (one.size() > MostCondemned)
-        one.resize(MostCondemned);
+    if (one.size() > MaxEntries)
+        one.resize(MaxEntries);
     return one;
 }
 
-struct CondemnedRecord::State : std::enable_shared_from_this<CondemnedRecord::State> {
+struct QuarantineRecord::State : std::enable_shared_from_this<QuarantineRecord::State> {
     State(FiberThread &thread, KindStore &store, const RelaySource &source, Loaded loaded)
         : m_thread(thread)
         , m_store(store)
@@ -124,91 +125,91 @@
     KindStore &m_store;
     const RelaySource &m_source;
     Loaded m_loaded;
-    std::vector<SuspectNews> m_unsaid; ///< To be written.
-    bool m_loading = false;
+    std::vector<SuspectNews> m_unwritten; ///< Entries still to be written.
+    bool m_loadStarted = false;
     bool m_writing = false;
 
-    /// The object, or one of no position if there is none yet.
+    /// The stored object; one with an unknown position if it does not exist yet.
     Result<KindObject> read();
     bool tryLoad();
     bool tryWrite();
 };
 
-Result<KindObject> CondemnedRecord::State::read()
+Result<KindObject> QuarantineRecord::State::read()
 {
-    auto object = m_store.get(m_source.m_condemnedKind, ObjectName);
+    auto object = m_store.get(m_source.m_quarantineKind, ObjectName);
     if (!object && object.error().m_code == ErrorCode::NotFound)
-        return KindObject{ ObjectName, {}, writeCondemned({}, {}) };
+        return KindObject{ ObjectName, {}, encodeQuarantined({}, {}) };
     return object;
 }
 
-bool CondemnedRecord::State::tryLoad()
+bool QuarantineRecord::State::tryLoad()
 {
     const auto object = read();
     if (!object)
         return false;
-    const auto condemned = readCondemned(object->m_spec, std::chrono::system_clock::now());
-    if (!condemned) {
+    const auto quarantined = decodeQuarantined(object->m_spec, std::chrono::system_clock::now());
+    if (!quarantined) {
         DecisionLine("store", "condemned requests not understood")
-            .text("error", condemned.error().m_message)
+            .text("error", quarantined.error().m_message)
             .write();
         return true;
     }
-    if (!condemned->empty())
+    if (!quarantined->empty())
         DecisionLine("store", "condemned requests read")
-            .number("requests", static_cast<int64_t>(condemned->size()))
+            .number("requests", static_cast<int64_t>(quarantined->size()))
             .write();
-    m_loaded(*condemned);
+    m_loaded(*quarantined);
     return true;
 }
 
-bool CondemnedRecord::State::tryWrite()
+bool QuarantineRecord::State::tryWrite()
 {
     const auto object = read();
     if (!object)
         return false;
     const WallTime now = std::chrono::system_clock::now();
-    // What cannot be read is written anew.
-    const auto known = readCondemned(object->m_spec, now).value_or(std::vector<SuspectNews>{});
-    const std::vector<SuspectNews> unsaid = m_unsaid;
-    if (!saysAll(known, unsaid)) {
+    // Content that cannot be decoded is overwritten.
+    const auto known = decodeQuarantined(object->m_spec, now).value_or(std::vector<SuspectNews>{});
+    const std::vector<SuspectNews> unwritten = m_unwritten;
+    if (!coversAll(known, unwritten)) {
         const KindObject next{ ObjectName, object->m_position,
-                               writeCondemned(joinCondemned(known, unsaid), now) };
+                               encodeQuarantined(mergeQuarantined(known, unwritten), now) };
         const Status written = next.m_position.known()
-                                   ? m_store.replace(m_source.m_condemnedKind, next)
-                                   : m_store.create(m_source.m_condemnedKind, next);
+                                   ? m_store.replace(m_source.m_quarantineKind, next)
+                                   : m_store.create(m_source.m_quarantineKind, next);
         if (!written)
             return false;
         DecisionLine("store", "condemned requests written")
-            .number("requests", static_cast<int64_t>(unsaid.size()))
+            .number("requests", static_cast<int64_t>(unwritten.size()))
             .write();
     }
-    // More may have come meanwhile.
-    std::erase_if(m_unsaid,
-                  [&unsaid](const SuspectNews &news) { return saysAll(unsaid, { news }); });
-    return m_unsaid.empty();
+    // More entries may have been added during the write.
+    std::erase_if(m_unwritten,
+                  [&unwritten](const SuspectNews &news) { return coversAll(unwritten, { news }); });
+    return m_unwritten.empty();
 }
 
-CondemnedRecord::CondemnedRecord(FiberThread &thread, KindStore &store, const RelaySource &source,
-                                 Loaded loaded)
+QuarantineRecord::QuarantineRecord(FiberThread &thread, KindStore &store, const RelaySource &source,
+                                   Loaded loaded)
     : m_state(std::make_shared<State>(thread, store, source, std::move(loaded)))
 { }
 
-CondemnedRecord::~CondemnedRecord() = default;
+QuarantineRecord::~QuarantineRecord() = default;
 
-void CondemnedRecord::load()
+void QuarantineRecord::load()
 {
-    if (std::exchange(m_state->m_loading, true))
+    if (std::exchange(m_state->m_loadStarted, true))
         return;
     spawnFiber([state = m_state] {
         while (!state->tryLoad() && sleepFor(state->m_thread.context(), RetryPeriod)) { }
     });
 }
 
-void CondemnedRecord::keep(const std::vector<SuspectNews> &condemned)
+void QuarantineRecord::save(const std::vector<SuspectNews> &quarantined)
 {
-    m_state->m_unsaid = joinCondemned(m_state->m_unsaid, condemned);
-    if (m_state->m_unsaid.empty() || std::exchange(m_state->m_writing, true))
+    m_state->m_unwritten = mergeQuarantined(m_state->m_unwritten, quarantined);
+    if (m_state->m_unwritten.empty() || std::exchange(m_state->m_writing, true))
         return;
     spawnFiber([state = m_state] {
         while (!state->tryWrite() && sleepFor(state->m_thread.context(), RetryPeriod)) { }
--- a/relay/condemned_record.h
+++ b/relay/condemned_record.h
@@ -1,8 +1,8 @@
-/// What is condemned, kept on the platform, for VMs that start when no other lives.
+/// Stores the quarantined requests in the object store, so that they survive a restart of all VMs.
 ///
-/// One object for the fleet, of at most MostCondemned entries. It is written only when a VM has
-/// itself seen the end that condemned a request, or tries a condemned one again; read once by a VM
-/// that first takes the duty to follow the store, whose neighbours hear of it from that VM.
+/// The fleet shares one object with at most MaxEntries entries. A VM writes it only if it observed
+/// the process exit that led to a quarantine, or if it retries a quarantined request. A VM reads it
+/// once, when it first becomes a store watcher; the other VMs receive the content from that VM.
 #pragma once
 
 #include <functional>
@@ -14,34 +14,39 @@
 
 namespace stackquay {
 
-/// For the control thread.
-class CondemnedRecord
+/// Used on the control thread only.
+class QuarantineRecord
 {
 public:
-    using Loaded = std::function<void(const std::vector<SuspectNews> &condemned)>;
-
-    /// @p thread must be stopped before this is destroyed. @p loaded hears what the object says.
-    CondemnedRecord(FiberThread &thread, KindStore &store, const RelaySource &source,
-                    Loaded loaded);
-    ~CondemnedRecord();
-    CondemnedRecord(const CondemnedRecord &) = delete;
-    CondemnedRecord &operator=(const CondemnedRecord &) = delete;
-
-    /// Reads the object until that succeeds, if it was not read yet. On the thread.
+    using Loaded = std::function<void(const std::vector<SuspectNews> &quarantined)>;
+
+    /// @p thread must be stopped before this object is destroyed. @p loaded is called with the
+    /// decoded content.
+    QuarantineRecord(FiberThread &thread, KindStore &store, const RelaySource &source,
+                     Loaded loaded);
+    ~QuarantineRecord();
+    QuarantineRecord(const QuarantineRecord &) = delete;
+    QuarantineRecord &operator=(const QuarantineRecord &) = delete;
+
+    /// Starts to read the object, with retries until that succeeds. Does nothing after the first
+    /// call. On the thread.
     void load();
-    /// Enters @p condemned into the object, until that succeeds. On the thread.
-    void keep(const std::vector<SuspectNews> &condemned);
+    /// Merges @p quarantined into the stored object, with retries until that succeeds. On the
+    /// thread.
+    void save(const std::vector<SuspectNews> &quarantined);
 
 private:
     struct State;
     std::shared_ptr<State> m_state;
 };
 
-/// The object's content; @p now is the time of day, as the clocks of VMs start anywhere.
-std::string writeCondemned(const std::vector<SuspectNews> &condemned, WallTime now);
-Result<std::vector<SuspectNews>> readCondemned(const std::string &spec, WallTime now);
-/// Both, with the higher counts; the latest, if there are too many.
-std::vector<SuspectNews> joinCondemned(std::vector<SuspectNews> one,
-                                       const std::vector<SuspectNews> &other);
+/// Encodes the object's content. Times are stored as wall clock time, because the steady clocks of
+/// VMs have no common origin; @p now is the current one.
+std::string encodeQuarantined(const std::vector<SuspectNews> &quarantined, WallTime now);
+Result<std::vector<SuspectNews>> decodeQuarantined(const std::string &spec, WallTime now);
+/// The union of both lists; of two entries for a request, the one with more exits and probes. Keeps
+/// the MaxEntries newest ones.
+std::vector<SuspectNews> mergeQuarantined(std::vector<SuspectNews> one,
+                                          const std::vector<SuspectNews> &other);
 
 } // namespace stackquay
--- a/relay/end_check.cpp
+++ b/relay/end_check.cpp
@@ -4,22 +4,23 @@
 
 namespace {
 
-/// A data centre away a connection takes some ms. Whoever waits holds a broken answer back.
+/// A connection to another data centre takes a few milliseconds. The caller delays the handling of
+/// a broken response meanwhile.
 constexpr Millis ProbeTimeout{ 200 };
 constexpr Millis ProbePoll{ 2 };
-/// All streams of an ended process break within some ms, and it starts again after seconds; one
-/// that still listens may be about to end.
-constexpr Millis RefusalHolds{ 500 };
-constexpr Millis AcceptanceHolds{ 10 };
+/// Results are cached this long. All streams of an exited process break within milliseconds, and a
+/// restart takes seconds; a process that still listens may be about to exit.
+constexpr Millis RefusalLifetime{ 500 };
+constexpr Millis AcceptanceLifetime{ 10 };
 
 } // namespace
 
-bool EndCheck::hasEnded(const EndpointRecord &endpoint)
+bool ExitProbe::hasExited(const EndpointRecord &endpoint)
 {
     const auto address = parseAddress(endpoint.m_address);
     if (!address)
         return false;
-    forgetOld(Clock::now());
+    dropExpired(Clock::now());
     std::shared_ptr<Probe> &known = m_probes[processName(endpoint.m_id, endpoint.m_startedMs)];
     if (known) {
         const std::shared_ptr<Probe> probe = known;
@@ -35,12 +36,12 @@
     return probe->m_refused;
 }
 
-void EndCheck::forgetOld(TimePoint now)
+void ExitProbe::dropExpired(TimePoint now)
 {
     std::erase_if(m_probes, [now](const auto &entry) {
         const Probe &probe = *entry.second;
-        const Millis holds = probe.m_refused ? RefusalHolds : AcceptanceHolds;
-        return probe.m_done && now - probe.m_begun > holds;
+        const Millis lifetime = probe.m_refused ? RefusalLifetime : AcceptanceLifetime;
+        return probe.m_done && now - probe.m_begun > lifetime;
     });
 }
 
--- a/relay/end_check.h
+++ b/relay/end_check.h
@@ -1,7 +1,8 @@
-/// Tells an endpoint whose process has ended from one that only broke off an answer.
+/// Distinguishes an endpoint whose process has exited from one that only broke off a response.
 ///
-/// A connection that breaks says little: answers are spoilt, connections are reset, and links are
-/// cut. Where the process has ended, its machine refuses a new connection, as nobody listens.
+/// A broken connection alone does not show this: responses are corrupted, connections reset and
+/// links cut. If the process has exited, its machine refuses new connections, because nothing
+/// listens on the port.
 #pragma once
 
 #include <memory>
@@ -13,17 +14,18 @@
 namespace stackquay {
 
 /// For the fibers of one thread.
-class EndCheck
+class ExitProbe
 {
 public:
-    /// @p thread must be stopped before this is destroyed.
-    explicit EndCheck(FiberThread &thread)
+    /// @p thread must be stopped before this object is destroyed.
+    explicit ExitProbe(FiberThread &thread)
         : m_thread(thread)
     { }
 
-    /// Opens a connection to the endpoint, for all fibers that ask within a moment together. False
-    /// if somebody listens there, or if that cannot be told in time.
-    bool hasEnded(const EndpointRecord &endpoint);
+    /// Whether the endpoint refuses a new connection. False if the connection succeeds, if the
+    /// check times out or if the address is invalid. Blocks the fiber; concurrent and recent calls
+    /// for one process share a connection attempt.
+    bool hasExited(const EndpointRecord &endpoint);
 
 private:
     struct Probe {
@@ -32,10 +34,10 @@
         bool m_refused = false;
     };
 
-    void forgetOld(TimePoint now);
+    void dropExpired(TimePoint now);
 
     FiberThread &m_thread;
-    std::unordered_map<uint64_t, std::shared_ptr<Probe>> m_probes; ///< By the process.
+    std::unordered_map<uint64_t, std::shared_ptr<Probe>> m_probes; ///< By process key.
 };
 
 } // namespace stackquay
--- a/relay/event_splitter.cpp
+++ b/relay/event_splitter.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view IdField = "id:";
 
-/// The length of the blank line that starts at @p position, or zero.
+/// The length of the blank line that starts at @p position; zero if there is none.
 size_t blankLineAt(std::string_view text, size_t position)
 {
     for (const std::string_view end : { std::string_view("\n\n"), std::string_view("\n\r\n") }) {
@@ -43,24 +43,24 @@
 
 void EventSplitter::feed(std::string_view bytes)
 {
-    m_buffer.erase(0, m_taken);
-    m_taken = 0;
+    m_buffer.erase(0, m_consumed);
+    m_consumed = 0;
     m_buffer.append(bytes);
 }
 
 std::optional<RawEvent> EventSplitter::next()
 {
     const std::string_view text = m_buffer;
-    for (size_t position = text.find('\n', m_taken); position != std::string_view::npos;
+    for (size_t position = text.find('\n', m_consumed); position != std::string_view::npos;
          position = text.find('\n', position + 1)) {
         const size_t blank = blankLineAt(text, position);
         if (blank == 0)
             continue;
         const size_t end = position + blank;
         RawEvent event;
-        event.m_bytes = std::string(text.substr(m_taken, end - m_taken));
+        event.m_bytes = std::string(text.substr(m_consumed, end - m_consumed));
         event.m_id = parseId(event.m_bytes);
-        m_taken = end;
+        m_consumed = end;
         return event;
     }
     return std::nullopt;
--- a/relay/event_splitter.h
+++ b/relay/event_splitter.h
@@ -1,4 +1,5 @@
-/// Whole events out of an event stream that arrives in pieces, byte for byte as they came.
+/// Splits a server-sent event stream that arrives in chunks into whole events, without changing any
+/// byte.
 #pragma once
 
 #include <optional>
@@ -10,7 +11,7 @@
 namespace stackquay {
 
 struct RawEvent {
-    std::string m_bytes; ///< With the blank line that ends it.
+    std::string m_bytes; ///< Includes the terminating blank line.
     std::optional<uint64_t> m_id;
 };
 
@@ -18,15 +19,15 @@
 {
 public:
     void feed(std::string_view bytes);
-    /// The next whole event, if there is one.
+    /// The next complete event, or nothing if more bytes are needed.
     std::optional<RawEvent> next();
-    /// Whether the stream may end here: no part of an event is left.
-    bool empty() const { return m_taken == m_buffer.size(); }
-    size_t pending() const { return m_buffer.size() - m_taken; }
+    /// Whether no incomplete event is buffered, so that the stream may end here.
+    bool empty() const { return m_consumed == m_buffer.size(); }
+    size_t pending() const { return m_buffer.size() - m_consumed; }
 
 private:
     std::string m_buffer;
-    size_t m_taken = 0;
+    size_t m_consumed = 0;
 };
 
 } // namespace stackquay
--- a/relay/fleet_link.cpp
+++ b/relay/fleet_link.cpp
@@ -13,67 +13,72 @@
 
 namespace {
 
-/// Each VM beats this often, and rarer in a large fleet: at most some tens of datagrams a second.
-constexpr Millis BeatPeriod{ 500 };
-constexpr Millis BeatPeriodPerPeer{ 25 };
-/// So many periods without a beat make a peer dead.
-constexpr int DeadAfterBeats = 4;
-/// Dead peers are greeted once in so many beats: a cut may have ended.
-constexpr uint64_t GreetEveryBeats = 6;
-/// And forgotten after so long.
+/// Grows with the number of peers, so that a VM in a large fleet sends at most some tens of
+/// datagrams a second.
+constexpr Millis HeartbeatPeriod{ 500 };
+constexpr Millis HeartbeatPeriodPerPeer{ 25 };
+/// A peer without a heartbeat for this many periods is considered dead.
+constexpr int DeadAfterPeriods = 4;
+/// Dead peers still receive a heartbeat in one of this many periods, because a network partition
+/// may have ended.
+constexpr uint64_t ProbeDeadEveryPeriods = 6;
+/// Dead peers are removed after this time.
 constexpr Seconds ForgetAfter{ 60 };
 constexpr Seconds ListPeriod{ 30 };
-constexpr Millis ListRetry{ 1'000 };
-constexpr Millis AskTimeout{ 400 };
-/// The first may meet a connection that fell silent; the second opens another.
-constexpr int AskTries = 2;
-/// A VM on duty asks for a peer's news only if the store has not brought them after this.
-constexpr Millis DutyAskDelay{ 120 };
-/// The others ask at once, but not all in the same moment.
-constexpr Millis AskJitter{ 30 };
-/// One way, of the quickest; the age of a proof in a beat grows by it.
-constexpr Millis BeatTravel{ 50 };
-/// A VM on duty beats to its data centre this often, however many VMs there are, so that its
-/// silence is known soon and a large fleet does not take it for gone. In a fleet of 295 VMs, whose
-/// period is 7 s, one VM took and left the duty 7 times in 20 s without it.
-constexpr Millis DutyBeatPeriod{ 500 };
-constexpr Millis DutySilence{ 3'200 };
-/// A VM that finds others of its data centre at its start takes no duty before one of them had time
-/// to answer, so that all that start at once do not all list the store. The first by name waits
-/// shortest: after a kill of all VMs their objects are still there, and nobody answers.
-constexpr Millis StartPatience{ 1'200 };
-constexpr Millis FirstPatience{ 150 };
-constexpr Millis PatienceStep{ 60 };
-/// Duty that another takes over is kept for so long, until the other has begun.
-constexpr Millis DutyHandover{ 1'500 };
+constexpr Millis StoreRetryPeriod{ 1'000 };
+constexpr Millis FetchTimeout{ 400 };
+/// The first call may use a connection that fell silent; the second one opens a new connection.
+constexpr int FetchAttempts = 2;
+/// A store watcher fetches a peer's newer state only if the store has not delivered it after this
+/// time.
+constexpr Millis WatcherFetchDelay{ 120 };
+/// Spreads the fetches of the other VMs.
+constexpr Millis FetchJitter{ 30 };
+/// Assumed transit time of the fastest heartbeat, one way; added to the age of a proof.
+constexpr Millis HeartbeatTransit{ 50 };
+/// A store watcher sends heartbeats within its data centre at this period regardless of the fleet
+/// size, so that peers notice its failure soon and do not assume it in a large fleet. In a fleet of
+/// 295 VMs, with a period of 7 s, one VM took and lost the role 7 times in 20 s without this.
+constexpr Millis WatcherHeartbeatPeriod{ 500 };
+constexpr Millis WatcherSilenceTimeout{ 3'200 };
+/// A VM that starts and finds other VMs of its data centre in the store waits for their heartbeats
+/// before it becomes a store watcher, so that VMs which start together do not all list the store.
+/// The delay is shortest for the first VM by name: after a crash of all VMs their objects are still
+/// there, and no VM answers.
+constexpr Millis MaxElectionDelay{ 1'200 };
+constexpr Millis MinElectionDelay{ 150 };
+constexpr Millis ElectionDelayStep{ 60 };
+/// A VM keeps the store watcher role this long after another one took it over, until that one has
+/// started.
+constexpr Millis WatcherHandover{ 1'500 };
 constexpr Millis RemovePoll{ 5 };
-/// All VMs write their objects again within this time of a return of the store: 1,200 of them take
-/// some 400 writes a second, and all are there within 5 s.
-constexpr Millis WriteAgainWithin{ 3'000 };
-/// Of each other cell: one may be gone since the list was read.
+/// After the store was restored, all VMs write their objects again within this time: 1,200 VMs make
+/// about 400 writes a second, and all objects are there within 5 s.
+constexpr Millis RewriteSpread{ 3'000 };
+/// For each other cell: one of them may have exited since the list was read.
 constexpr size_t ContactsPerCell = 2;
 
 struct Peer {
-    Beat m_beat; ///< The last one heard.
+    Beat m_lastHeartbeat; ///< The last one received.
     ArrivalClock m_clock;
-    TimePoint m_heard{};
-    bool m_present = false; ///< Its process is there, as far as is known.
-    bool m_askLoads = false; ///< The next beat to it asks what it has in flight.
+    TimePoint m_lastHeardAt{};
+    bool m_alive = false; ///< No sign that its process has exited.
+    bool m_requestLoads = false; ///< The next heartbeat to it requests its requests in flight.
 
-    /// Whether duties and questions may be given to it.
-    bool live() const { return m_present && !m_beat.m_leaving; }
+    /// Whether it may watch the store and answer fetches.
+    bool isAvailable() const { return m_alive && !m_lastHeartbeat.m_draining; }
 };
 
-/// What a beat is sent for; as in Beat.
-struct BeatKind {
-    bool m_answer = false;
-    bool m_asksLoads = false;
+/// See the members of Beat.
+struct HeartbeatFlags {
+    bool m_isReply = false;
+    bool m_requestsLoads = false;
 };
 
 RpcLimits rpcLimits(const RelaySettings &settings)
 {
     RpcLimits limits;
-    limits.m_silence = { silenceBound(settings.m_bounds), true };
+    limits.m_silence = { silenceTimeout(settings.m_bounds), true };
     return limits;
 }
 
@@ -94,7 +99,7 @@
     { }
 
     FiberThread &m_thread;
-    RelaySettings m_settings; ///< With the ports as bound.
+    RelaySettings m_settings; ///< Includes the bound ports.
     const uint64_t m_origin;
     KindStore &m_store;
     const RelaySource &m_source;
@@ -102,61 +107,62 @@
     DatagramSocket m_socket;
     PeerServer m_server;
     PeerClient m_client;
-    std::map<Address, Peer> m_peers; ///< By the address of their beats.
-    uint64_t m_beats = 0;
-    uint32_t m_mostVms = 1;
-    uint32_t m_registeredVms = 1; ///< The most ever found in the store, by this VM or another.
+    std::map<Address, Peer> m_peers; ///< By the source address of their heartbeats.
+    uint64_t m_heartbeatRounds = 0;
+    uint32_t m_maxVms = 1;
+    /// The highest number of VM objects found in the store, by this VM or another.
+    uint32_t m_registeredVms = 1;
     CellView m_cell;
-    bool m_leaving = false;
-    bool m_removing = false; ///< Waits for the store to remove its object.
-    bool m_gone = false; ///< Says and hears nothing more.
-    bool m_asking = false;
-    bool m_onDuty = false;
-    std::vector<Address> m_contacts; ///< For loads, in other cells.
-    TimePoint m_firstOnDuty{}; ///< When it last came first for it.
-    TimePoint m_dutyFrom{}; ///< It takes none before.
+    bool m_draining = false;
+    bool m_removing = false; ///< The removal of this VM's object is in progress.
+    bool m_gone = false; ///< Sends and accepts no more heartbeats after the last one.
+    bool m_fetching = false;
+    bool m_watchesStore = false;
+    std::vector<Address> m_contacts; ///< Load message addresses in other cells.
+    TimePoint m_lastElected{}; ///< The last time that it was elected store watcher.
+    TimePoint m_electableFrom{}; ///< It is not elected earlier.
     RandomEngine m_random{ std::random_device{}() };
 
-    void beatLoop();
-    void dutyBeatLoop();
+    void heartbeatLoop();
+    void watcherHeartbeatLoop();
     void registerLoop();
     bool writeObject();
-    void writeAgain();
+    void rewriteObject();
     bool readObjects();
     void chooseContacts(const std::vector<KindObject> &objects);
     bool lacksContacts() const;
     void removeObject();
-    void beat(bool all);
-    void sendBeat(const Address &to, Peer &peer, bool answer);
-    void sendBeat(const Address &to, const BeatKind &kind);
+    void sendHeartbeats(bool all);
+    void sendHeartbeat(const Address &to, Peer &peer, bool answer);
+    void sendHeartbeat(const Address &to, const HeartbeatFlags &kind);
     void receive(const Address &from, std::string_view bytes);
-    void hear(const Address &from, Peer &peer, const Beat &beat);
-    void greet(const Address &from, Peer &peer, bool wasAlone);
-    void takeProof(Peer &peer);
-    bool alone() const;
+    void handleHeartbeat(const Address &from, Peer &peer, const Beat &beat);
+    void announceTo(const Address &from, Peer &peer, bool hadNoPeers);
+    void applyProof(Peer &peer);
+    bool hasNoPeers() const;
     void expire();
     void publish();
     bool inCell(const VmId &vm) const;
     void noteFleetSize(uint32_t vms);
-    void askIfBehind();
-    const Peer *peerWithNews();
-    bool ask(const Address &peer);
-    void updateDuty();
+    void fetchIfBehind();
+    const Peer *peerWithNewerState();
+    bool fetchState(const Address &peer);
+    void updateWatcherRole();
     Duration period() const;
 };
 
 Duration FleetLink::State::period() const
 {
-    return std::max<Duration>(BeatPeriod, BeatPeriodPerPeer * m_peers.size());
+    return std::max<Duration>(HeartbeatPeriod, HeartbeatPeriodPerPeer * m_peers.size());
 }
 
-void FleetLink::State::sendBeat(const Address &to, Peer &peer, bool answer)
+void FleetLink::State::sendHeartbeat(const Address &to, Peer &peer, bool answer)
 {
-    const bool asksLoads = !peer.m_present || std::exchange(peer.m_askLoads, false);
-    sendBeat(to, { answer, asksLoads });
+    const bool asksLoads = !peer.m_alive || std::exchange(peer.m_requestLoads, false);
+    sendHeartbeat(to, { answer, asksLoads });
 }
 
-void FleetLink::State::sendBeat(const Address &to, const BeatKind &kind)
+void FleetLink::State::sendHeartbeat(const Address &to, const HeartbeatFlags &kind)
 {
     const auto endpoint = toUdp(to);
     if (!endpoint)
@@ -169,49 +175,49 @@
                      static_cast<uint64_t>(sentUs),
                      m_settings.m_peerCalls,
                      m_settings.m_loads,
-                     m_hooks.m_own(),
-                     m_onDuty,
-                     m_leaving,
+                     m_hooks.m_ownSummary(),
+                     m_watchesStore,
+                     m_draining,
                      m_gone,
-                     kind.m_answer,
-                     kind.m_asksLoads,
+                     kind.m_isReply,
+                     kind.m_requestsLoads,
                      m_registeredVms };
     m_socket.send(*endpoint, encodeMessage(beat));
 }
 
-void FleetLink::State::beat(bool all)
+void FleetLink::State::sendHeartbeats(bool all)
 {
     for (auto &[address, peer] : m_peers) {
-        if (peer.m_present || all)
-            sendBeat(address, peer, false);
+        if (peer.m_alive || all)
+            sendHeartbeat(address, peer, false);
     }
 }
 
-bool FleetLink::State::alone() const
+bool FleetLink::State::hasNoPeers() const
 {
     return std::none_of(m_peers.begin(), m_peers.end(),
-                        [](const auto &entry) { return entry.second.m_present; });
+                        [](const auto &entry) { return entry.second.m_alive; });
 }
 
-void FleetLink::State::beatLoop()
+void FleetLink::State::heartbeatLoop()
 {
     do {
-        updateDuty();
-        beat(m_beats++ % GreetEveryBeats == 0);
+        updateWatcherRole();
+        sendHeartbeats(m_heartbeatRounds++ % ProbeDeadEveryPeriods == 0);
         expire();
-        askIfBehind();
+        fetchIfBehind();
     } while (sleepFor(m_thread.context(), period()) && !m_gone);
 }
 
-void FleetLink::State::dutyBeatLoop()
+void FleetLink::State::watcherHeartbeatLoop()
 {
-    while (sleepFor(m_thread.context(), DutyBeatPeriod) && !m_gone) {
-        updateDuty();
-        if (!m_onDuty || period() <= DutyBeatPeriod)
+    while (sleepFor(m_thread.context(), WatcherHeartbeatPeriod) && !m_gone) {
+        updateWatcherRole();
+        if (!m_watchesStore || period() <= WatcherHeartbeatPeriod)
             continue;
         for (auto &[address, peer] : m_peers) {
-            if (peer.m_present && peer.m_beat.m_dataCentre == m_settings.m_dataCentre)
-                sendBeat(address, peer, false);
+            if (peer.m_alive && peer.m_lastHeartbeat.m_dataCentre == m_settings.m_dataCentre)
+                sendHeartbeat(address, peer, false);
         }
     }
 }
@@ -223,36 +229,37 @@
         return;
     noteFleetSize(beat->m_fleetVms);
     if (!inCell(beat->m_vm)) {
-        if (!beat->m_answer && !beat->m_gone && beat->m_fleetVms < m_registeredVms)
-            sendBeat(from, { true, false });
+        if (!beat->m_isReply && !beat->m_gone && beat->m_fleetVms < m_registeredVms)
+            sendHeartbeat(from, { true, false });
         return;
     }
     Peer &peer = m_peers[from];
-    const bool overtaken = peer.m_beat.m_gone && peer.m_beat.m_origin == beat->m_origin;
+    const bool overtaken =
+        peer.m_lastHeartbeat.m_gone && peer.m_lastHeartbeat.m_origin == beat->m_origin;
     if (!overtaken)
-        hear(from, peer, *beat);
+        handleHeartbeat(from, peer, *beat);
 }
 
-void FleetLink::State::hear(const Address &from, Peer &peer, const Beat &beat)
+void FleetLink::State::handleHeartbeat(const Address &from, Peer &peer, const Beat &beat)
 {
-    const bool wasAlone = alone();
-    const uint64_t before = peer.m_beat.m_origin;
+    const bool hadNoPeers = hasNoPeers();
+    const uint64_t before = peer.m_lastHeartbeat.m_origin;
     const bool restarted = before != beat.m_origin;
-    const bool begins = !peer.m_present || restarted;
-    const bool leaves = beat.m_leaving && (restarted || !peer.m_beat.m_leaving);
+    const bool begins = !peer.m_alive || restarted;
+    const bool drains = beat.m_draining && (restarted || !peer.m_lastHeartbeat.m_draining);
     if (restarted)
         peer.m_clock = {};
     if (restarted && before != 0)
-        m_hooks.m_gone(before);
+        m_hooks.m_onProcessGone(before);
     if (beat.m_gone)
-        m_hooks.m_gone(beat.m_origin);
-    peer.m_beat = beat;
-    peer.m_heard = Clock::now();
-    peer.m_present = !beat.m_gone;
-    updateDuty();
-    m_hooks.m_era(beat.m_beliefs.m_era);
-    if (begins || leaves || beat.m_gone) {
-        const char *event = leaves ? "peer leaves" : "peer heard";
+        m_hooks.m_onProcessGone(beat.m_origin);
+    peer.m_lastHeartbeat = beat;
+    peer.m_lastHeardAt = Clock::now();
+    peer.m_alive = !beat.m_gone;
+    updateWatcherRole();
+    m_hooks.m_era(beat.m_stateSummary.m_era);
+    if (begins || drains || beat.m_gone) {
+        const char *event = drains ? "peer leaves" : "peer heard";
         DecisionLine("peers", beat.m_gone ? "peer gone" : event)
             .text("vm", beat.m_vm.str())
             .text("address", toString(from))
@@ -261,35 +268,35 @@
     }
     if (beat.m_gone)
         return;
-    if (begins || beat.m_asksLoads)
-        m_hooks.m_tellLoads(beat.m_loads);
+    if (begins || beat.m_requestsLoads)
+        m_hooks.m_sendLoads(beat.m_loads);
     if (begins)
-        greet(from, peer, wasAlone);
-    takeProof(peer);
-    askIfBehind();
+        announceTo(from, peer, hadNoPeers);
+    applyProof(peer);
+    fetchIfBehind();
 }
 
-/// Says to a peer that is new here, or is heard again, that this VM is there.
-void FleetLink::State::greet(const Address &from, Peer &peer, bool wasAlone)
+/// Replies to a peer that is new, or alive again.
+void FleetLink::State::announceTo(const Address &from, Peer &peer, bool hadNoPeers)
 {
-    peer.m_askLoads = true;
-    // A cut that has ended for one has mostly ended for all.
-    if (wasAlone)
-        beat(true);
-    else if (!peer.m_beat.m_answer)
-        sendBeat(from, peer, true);
+    peer.m_requestLoads = true;
+    // The end of a network partition mostly restores all peers.
+    if (hadNoPeers)
+        sendHeartbeats(true);
+    else if (!peer.m_lastHeartbeat.m_isReply)
+        sendHeartbeat(from, peer, true);
 }
 
-/// The proof that the peer's last beat carries, if it does.
-void FleetLink::State::takeProof(Peer &peer)
+/// Reports the freshness proof in the peer's last heartbeat, if it has one.
+void FleetLink::State::applyProof(Peer &peer)
 {
-    const TimePoint sent = TimePoint{} + std::chrono::microseconds(peer.m_beat.m_sentUs);
-    const Duration delay = delayOf(peer.m_clock, sent, peer.m_heard);
-    const BeliefSummary &beliefs = peer.m_beat.m_beliefs;
-    if (beliefs.m_proved) {
-        m_hooks.m_proof(proofFromAge(beliefs.m_routesVersion, beliefs.m_proofEra,
-                                     Millis(beliefs.m_proofAgeMs), BeatTravel + delay,
-                                     peer.m_heard));
+    const TimePoint sent = TimePoint{} + std::chrono::microseconds(peer.m_lastHeartbeat.m_sentUs);
+    const Duration delay = delayOf(peer.m_clock, sent, peer.m_lastHeardAt);
+    const StateSummary &summary = peer.m_lastHeartbeat.m_stateSummary;
+    if (summary.m_proved) {
+        m_hooks.m_onProof(proofFromAge(summary.m_routesVersion, summary.m_proofEra,
+                                       Millis(summary.m_proofAgeMs), HeartbeatTransit + delay,
+                                       peer.m_lastHeardAt));
     }
 }
 
@@ -298,16 +305,16 @@
     const TimePoint now = Clock::now();
     bool changed = false;
     for (auto &[address, peer] : m_peers) {
-        if (!peer.m_present || now - peer.m_heard <= period() * DeadAfterBeats)
+        if (!peer.m_alive || now - peer.m_lastHeardAt <= period() * DeadAfterPeriods)
             continue;
-        peer.m_present = false;
+        peer.m_alive = false;
         changed = true;
-        m_hooks.m_gone(peer.m_beat.m_origin);
-        DecisionLine("peers", "peer lost").text("vm", peer.m_beat.m_vm.str()).write();
+        m_hooks.m_onProcessGone(peer.m_lastHeartbeat.m_origin);
+        DecisionLine("peers", "peer lost").text("vm", peer.m_lastHeartbeat.m_vm.str()).write();
     }
     std::erase_if(m_peers, [now](const auto &entry) {
         const Peer &peer = entry.second;
-        return !peer.m_present && now - peer.m_heard > ForgetAfter;
+        return !peer.m_alive && now - peer.m_lastHeardAt > ForgetAfter;
     });
     if (changed)
         publish();
@@ -318,15 +325,15 @@
     FleetView fleet;
     fleet.m_cell = m_cell;
     fleet.m_contacts = m_contacts;
-    fleet.m_onDuty = m_onDuty;
+    fleet.m_watchesStore = m_watchesStore;
     for (const auto &[address, peer] : m_peers) {
-        if (peer.m_present)
-            fleet.m_loads.push_back(peer.m_beat.m_loads);
+        if (peer.m_alive)
+            fleet.m_loads.push_back(peer.m_lastHeartbeat.m_loads);
     }
     const auto live = static_cast<uint32_t>(fleet.m_loads.size()) + 1;
-    m_mostVms = std::max(m_mostVms, live * m_cell.m_cells);
-    fleet.m_vms = m_mostVms;
-    m_hooks.m_peers(fleet);
+    m_maxVms = std::max(m_maxVms, live * m_cell.m_cells);
+    fleet.m_vms = m_maxVms;
+    m_hooks.m_onFleetChange(fleet);
 }
 
 bool FleetLink::State::inCell(const VmId &vm) const
@@ -334,7 +341,8 @@
     return cellOf(vm, m_cell.m_cells) == m_cell.m_cell;
 }
 
-/// Takes note that so many VMs are registered. Those of other cells are no peers any more.
+/// Updates the number of registered VMs, and with it the cells. VMs of other cells are removed from
+/// the peers.
 void FleetLink::State::noteFleetSize(uint32_t vms)
 {
     if (vms <= m_registeredVms)
@@ -346,9 +354,9 @@
     m_cell = cell;
     std::erase_if(m_peers, [this](const auto &entry) {
         const Peer &peer = entry.second;
-        if (peer.m_beat.m_origin == 0 || inCell(peer.m_beat.m_vm))
+        if (peer.m_lastHeartbeat.m_origin == 0 || inCell(peer.m_lastHeartbeat.m_vm))
             return false;
-        m_hooks.m_gone(peer.m_beat.m_origin);
+        m_hooks.m_onProcessGone(peer.m_lastHeartbeat.m_origin);
         return true;
     });
     DecisionLine("peers", "cell changed")
@@ -359,56 +367,56 @@
     publish();
 }
 
-/// A live peer that knows more than this VM; one of the same data centre, if there is one. Any of
-/// them, so that not all VMs ask the same.
-const Peer *FleetLink::State::peerWithNews()
+/// A random available peer with newer state, preferably of the same data centre; null if there is
+/// none. The random choice spreads the load.
+const Peer *FleetLink::State::peerWithNewerState()
 {
-    const BeliefSummary own = m_hooks.m_own();
-    const auto hasNews = [&own](const BeliefSummary &its) {
-        const bool settles =
-            !own.m_directorySure && its.m_directorySure && its.m_directory >= own.m_sure;
+    const StateSummary own = m_hooks.m_ownSummary();
+    const auto isNewer = [&own](const StateSummary &its) {
+        const bool settles = !own.m_directoryConfirmed && its.m_directoryConfirmed
+                             && its.m_directory >= own.m_lastConfirmed;
         return its.m_routesVersion > own.m_routesVersion || its.m_directory > own.m_directory
                || settles;
     };
-    std::vector<const Peer *> near;
-    std::vector<const Peer *> far;
+    std::vector<const Peer *> local;
+    std::vector<const Peer *> remote;
     for (const auto &[address, peer] : m_peers) {
-        if (peer.live() && hasNews(peer.m_beat.m_beliefs)) {
-            const bool isNear = peer.m_beat.m_dataCentre == m_settings.m_dataCentre;
-            (isNear ? near : far).push_back(&peer);
+        if (peer.isAvailable() && isNewer(peer.m_lastHeartbeat.m_stateSummary)) {
+            const bool isLocal = peer.m_lastHeartbeat.m_dataCentre == m_settings.m_dataCentre;
+            (isLocal ? local : remote).push_back(&peer);
         }
     }
-    const auto &peers = near.empty() ? far : near;
+    const auto &peers = local.empty() ? remote : local;
     if (peers.empty())
         return nullptr;
     return peers[std::uniform_int_distribution<size_t>(0, peers.size() - 1)(m_random)];
 }
 
-void FleetLink::State::askIfBehind()
+void FleetLink::State::fetchIfBehind()
 {
-    if (m_asking || !peerWithNews())
+    if (m_fetching || !peerWithNewerState())
         return;
-    m_asking = true;
-    std::uniform_int_distribution<Millis::rep> jitter(0, AskJitter.count());
-    const Millis delay = m_onDuty ? DutyAskDelay : Millis(jitter(m_random));
+    m_fetching = true;
+    std::uniform_int_distribution<Millis::rep> jitter(0, FetchJitter.count());
+    const Millis delay = m_watchesStore ? WatcherFetchDelay : Millis(jitter(m_random));
     spawnFiber([self = shared_from_this(), delay] {
         if (sleepFor(self->m_thread.context(), delay)) {
-            for (int tries = 0; tries < AskTries; ++tries) {
-                const Peer *peer = self->peerWithNews();
-                if (!peer || self->ask(Address(peer->m_beat.m_calls)))
+            for (int tries = 0; tries < FetchAttempts; ++tries) {
+                const Peer *peer = self->peerWithNewerState();
+                if (!peer || self->fetchState(Address(peer->m_lastHeartbeat.m_calls)))
                     break;
             }
         }
-        self->m_asking = false;
+        self->m_fetching = false;
     });
 }
 
-bool FleetLink::State::ask(const Address &peer)
+bool FleetLink::State::fetchState(const Address &peer)
 {
-    const BeliefSummary own = m_hooks.m_own();
-    const AskBeliefs question{ own.m_routesVersion, own.m_directory, !own.m_directorySure };
+    const StateSummary own = m_hooks.m_ownSummary();
+    const StateRequest request{ own.m_routesVersion, own.m_directory, !own.m_directoryConfirmed };
     const TimePoint begun = Clock::now();
-    const auto reply = m_client.call(peer, question, AskTimeout);
+    const auto reply = m_client.call(peer, request, FetchTimeout);
     if (!reply) {
         DecisionLine("peers", "peer did not tell its beliefs")
             .text("peer", toString(peer))
@@ -416,29 +424,30 @@
             .write();
         return false;
     }
-    m_hooks.m_heard(*reply, Clock::now() - begun);
+    m_hooks.m_onState(*reply, Clock::now() - begun);
     return true;
 }
 
-void FleetLink::State::updateDuty()
+void FleetLink::State::updateWatcherRole()
 {
     const TimePoint now = Clock::now();
     std::vector<DutyCandidate> candidates;
     for (const auto &[address, peer] : m_peers) {
-        if (!peer.live())
+        if (!peer.isAvailable())
             continue;
-        const bool silent = peer.m_beat.m_onDuty && now - peer.m_heard > DutySilence;
-        candidates.push_back({ peer.m_beat.m_vm, peer.m_beat.m_dataCentre,
-                               peer.m_beat.m_beliefs.m_reachesStore && !silent,
-                               peer.m_beat.m_onDuty });
+        const bool silent =
+            peer.m_lastHeartbeat.m_watchesStore && now - peer.m_lastHeardAt > WatcherSilenceTimeout;
+        candidates.push_back({ peer.m_lastHeartbeat.m_vm, peer.m_lastHeartbeat.m_dataCentre,
+                               peer.m_lastHeartbeat.m_stateSummary.m_reachesStore && !silent,
+                               peer.m_lastHeartbeat.m_watchesStore });
     }
     const DutyCandidate self{ m_settings.m_vm, m_settings.m_dataCentre,
-                              m_hooks.m_own().m_reachesStore, m_onDuty };
-    if (!m_leaving && now >= m_dutyFrom && hasWatchDuty(self, candidates))
-        m_firstOnDuty = now;
-    const bool before = m_onDuty;
-    m_onDuty = m_firstOnDuty != TimePoint{} && now - m_firstOnDuty < DutyHandover;
-    if (before != m_onDuty)
+                              m_hooks.m_ownSummary().m_reachesStore, m_watchesStore };
+    if (!m_draining && now >= m_electableFrom && hasWatchDuty(self, candidates))
+        m_lastElected = now;
+    const bool before = m_watchesStore;
+    m_watchesStore = m_lastElected != TimePoint{} && now - m_lastElected < WatcherHandover;
+    if (before != m_watchesStore)
         publish();
 }
 
@@ -456,22 +465,22 @@
     return false;
 }
 
-/// The store that came back would meet all VMs at once: a call each, over this time.
-void FleetLink::State::writeAgain()
+/// The delay spreads the writes of all VMs to a store that was just restored.
+void FleetLink::State::rewriteObject()
 {
     spawnFiber([self = shared_from_this()] {
-        std::uniform_int_distribution<Millis::rep> delay(0, WriteAgainWithin.count());
+        std::uniform_int_distribution<Millis::rep> delay(0, RewriteSpread.count());
         bool wait = sleepFor(self->m_thread.context(), Millis(delay(self->m_random)));
-        while (wait && !self->m_leaving && !self->writeObject())
-            wait = sleepFor(self->m_thread.context(), ListRetry);
+        while (wait && !self->m_draining && !self->writeObject())
+            wait = sleepFor(self->m_thread.context(), StoreRetryPeriod);
     });
 }
 
-/// If the object stays, VMs that start later greet this one in vain; that does no harm.
+/// If the removal fails, new VMs send heartbeats to this VM in vain, which does no harm.
 void FleetLink::State::removeObject()
 {
     const Status removed =
-        m_hooks.m_own().m_reachesStore
+        m_hooks.m_ownSummary().m_reachesStore
             ? m_store.remove(m_source.m_vmsKind, { m_settings.m_vm.str(), {}, "" })
             : Status(makeError(ErrorCode::Unavailable, "the store is away"));
     if (!removed)
@@ -488,8 +497,8 @@
         return false;
     noteFleetSize(static_cast<uint32_t>(page->m_objects.size()));
     chooseContacts(page->m_objects);
-    bool hasNeighbours = false;
-    Millis patience = FirstPatience;
+    bool hasLocalPeers = false;
+    Millis electionDelay = MinElectionDelay;
     for (const KindObject &object : page->m_objects) {
         if (!inCell(VmId(object.m_name)))
             continue;
@@ -501,23 +510,23 @@
         if (!address || *address == m_settings.m_beats)
             continue;
         if (stringField(*spec, "data_centre") == m_settings.m_dataCentre.str()) {
-            hasNeighbours = true;
+            hasLocalPeers = true;
             if (object.m_name < m_settings.m_vm.str())
-                patience += PatienceStep;
+                electionDelay += ElectionDelayStep;
         }
         if (m_peers.count(*address) > 0)
             continue;
         Peer &peer = m_peers[*address];
-        peer.m_heard = Clock::now();
-        sendBeat(*address, peer, false);
+        peer.m_lastHeardAt = Clock::now();
+        sendHeartbeat(*address, peer, false);
     }
     const TimePoint now = Clock::now();
-    m_dutyFrom = hasNeighbours ? std::min(m_dutyFrom, now + patience) : now;
-    updateDuty();
+    m_electableFrom = hasLocalPeers ? std::min(m_electableFrom, now + electionDelay) : now;
+    updateWatcherRole();
     return true;
 }
 
-/// Any VMs of each other cell, so that not all tell the same.
+/// Chooses random VMs of each other cell, so that the VMs of this cell use different ones.
 void FleetLink::State::chooseContacts(const std::vector<KindObject> &objects)
 {
     std::map<uint32_t, std::vector<Address>> cells;
@@ -542,7 +551,7 @@
         publish();
 }
 
-/// As long as VMs register, the list names no VM of some cells.
+/// While VMs still register, the list may contain no VM of some cells.
 bool FleetLink::State::lacksContacts() const
 {
     return m_contacts.size() + 1 < m_cell.m_cells;
@@ -554,15 +563,15 @@
     bool read = false;
     TimePoint readAt{};
     do {
-        if (!written && !m_leaving)
+        if (!written && !m_draining)
             written = writeObject();
         const TimePoint now = Clock::now();
-        const bool again = m_onDuty && (lacksContacts() || now - readAt >= ListPeriod);
+        const bool again = m_watchesStore && (lacksContacts() || now - readAt >= ListPeriod);
         if (written && (!read || again)) {
             read = readObjects();
             readAt = now;
         }
-    } while (sleepFor(m_thread.context(), ListRetry));
+    } while (sleepFor(m_thread.context(), StoreRetryPeriod));
 }
 
 FleetLink::FleetLink(FiberThread &thread, const RelaySettings &settings, uint64_t origin,
@@ -582,9 +591,10 @@
     if (!beats)
         return tl::unexpected(beats.error());
     state->m_settings.m_beats = *beats;
-    state->m_server.handle<AskBeliefs>([state](const AskBeliefs &question) -> Result<Beliefs> {
-        return state->m_hooks.m_answer(question);
-    });
+    state->m_server.handle<StateRequest>(
+        [state](const StateRequest &request) -> Result<StateSnapshot> {
+            return state->m_hooks.m_answerRequest(request);
+        });
     const auto calls = state->m_server.listen(state->m_settings.m_peerCalls);
     if (!calls)
         return tl::unexpected(calls.error());
@@ -594,17 +604,17 @@
 
 void FleetLink::start()
 {
-    m_state->m_dutyFrom = Clock::now() + StartPatience;
-    spawnFiber([state = m_state] { state->beatLoop(); });
-    spawnFiber([state = m_state] { state->dutyBeatLoop(); });
+    m_state->m_electableFrom = Clock::now() + MaxElectionDelay;
+    spawnFiber([state = m_state] { state->heartbeatLoop(); });
+    spawnFiber([state = m_state] { state->watcherHeartbeatLoop(); });
     spawnFiber([state = m_state] { state->registerLoop(); });
 }
 
-void FleetLink::leave()
+void FleetLink::announceDrain()
 {
-    m_state->m_leaving = true;
-    m_state->updateDuty();
-    m_state->beat(true);
+    m_state->m_draining = true;
+    m_state->updateWatcherRole();
+    m_state->sendHeartbeats(true);
 }
 
 void FleetLink::removeObject()
@@ -613,29 +623,29 @@
     spawnFiber([state = m_state] { state->removeObject(); });
 }
 
-void FleetLink::goodbye(TimePoint by)
+void FleetLink::announceExit(TimePoint by)
 {
     State &state = *m_state;
     while (state.m_removing && Clock::now() < by
            && sleepFor(state.m_thread.context(), RemovePoll)) { }
     state.m_gone = true;
-    state.beat(false);
+    state.sendHeartbeats(false);
 }
 
-void FleetLink::writeAgain()
+void FleetLink::rewriteObject()
 {
-    m_state->writeAgain();
+    m_state->rewriteObject();
 }
 
-void FleetLink::beatNow()
+void FleetLink::sendHeartbeatsNow()
 {
-    m_state->beat(false);
+    m_state->sendHeartbeats(false);
 }
 
-bool FleetLink::onDuty() const
+bool FleetLink::watchesStore() const
 {
-    m_state->updateDuty(); // A wait may have ended since it was last looked at.
-    return m_state->m_onDuty;
+    m_state->updateWatcherRole(); // The election delay may have passed since the last update.
+    return m_state->m_watchesStore;
 }
 
 } // namespace stackquay
--- a/relay/fleet_link.h
+++ b/relay/fleet_link.h
@@ -1,16 +1,17 @@
-/// The other VMs of the deployment: how they are found, what they believe, and what this one tells
-/// them. For the control thread.
+/// Membership and state exchange between the VMs of a deployment: discovery, heartbeats, and
+/// transfer of configuration state. For the control thread.
 ///
-/// A VM writes one small object into the store at its start, and reads those of the others then and
-/// once in a while. From there on VMs know each other by beats: whoever hears an unknown VM answers
-/// it, and tells it what it has in flight. A VM without peers serves alone.
+/// A VM writes one small object to the store when it starts, and lists the objects of the others
+/// then and periodically. After that, VMs discover each other by heartbeats: a VM that receives a
+/// heartbeat from an unknown VM replies and sends it the requests that it has in flight. A VM
+/// without peers serves alone.
 ///
-/// VMs of other cells (policy/cells.h) are no peers: they only tell each other how large the fleet
-/// is, if one of them does not know, and by way of some contacts which requests end endpoints.
+/// VMs of other cells (policy/cells.h) are not peers. They only exchange the size of the fleet, if
+/// one of them has an older value, and, through a few contacts, the requests that crash endpoints.
 ///
-/// A VM that drains still takes and places requests for some seconds. So it keeps its object, and
-/// stays a partner in all that is told of loads and news, until its process goes; but it takes no
-/// duty, and nobody turns to it with questions.
+/// A draining VM still accepts and places requests for some seconds. So it keeps its object and
+/// takes part in the exchange of loads and updates until its process exits, but it does not watch
+/// the store, and peers fetch no state from it.
 #pragma once
 
 #include <functional>
@@ -23,32 +24,34 @@
 
 namespace stackquay {
 
-/// The fleet as a VM plans with it.
+/// The fleet, as far as placement and quotas depend on it.
 struct FleetView {
-    std::vector<Address> m_loads; ///< Of the peers of its cell, for what they place.
-    std::vector<Address> m_contacts; ///< For loads, of some VMs of each other cell.
-    bool m_onDuty = false;
-    uint32_t m_vms = 1; ///< The most VMs of the fleet ever known at once.
+    std::vector<Address> m_loads; ///< Load message addresses of the peers in this VM's cell.
+    std::vector<Address> m_contacts; ///< Load message addresses of some VMs in each other cell.
+    bool m_watchesStore = false;
+    uint32_t m_vms = 1; ///< The highest number of VMs known at the same time.
     CellView m_cell;
 };
 
 struct FleetHooks {
-    /// What this VM knows.
-    std::function<BeliefSummary()> m_own;
-    /// The same, with what the asker lacks.
-    std::function<Beliefs(const AskBeliefs &question)> m_answer;
-    /// A peer's beliefs came, in answer to a question; @p callTime is how long it took.
-    std::function<void(const Beliefs &beliefs, Duration callTime)> m_heard;
-    /// A peer's proof came with a beat.
-    std::function<void(const FreshnessProof &proof)> m_proof;
-    /// A peer knows this era of the store.
+    /// Returns the summary of this VM's state.
+    std::function<StateSummary()> m_ownSummary;
+    /// Returns this VM's state, as far as the caller's is older.
+    std::function<StateSnapshot(const StateRequest &request)> m_answerRequest;
+    /// Called with a peer's state after a fetch; @p callTime is the duration of the call.
+    std::function<void(const StateSnapshot &state, Duration callTime)> m_onState;
+    /// Called with the freshness proof in a peer's heartbeat.
+    std::function<void(const FreshnessProof &proof)> m_onProof;
+    /// Called with the store era that a peer knows.
     std::function<void(uint64_t era)> m_era;
-    /// A process of a peer is gone, or cannot be heard: what it placed is not known any more.
-    std::function<void(uint64_t origin)> m_gone;
-    /// The set of VMs that this one plans with changed.
-    std::function<void(const FleetView &fleet)> m_peers;
-    /// The VM at this address for loads lacks what this one has in flight.
-    std::function<void(const Address &loads)> m_tellLoads;
+    /// Called when a peer's process has exited or is unreachable: its placements are unknown from
+    /// now on.
+    std::function<void(uint64_t origin)> m_onProcessGone;
+    /// Called when the members of the fleet, or this VM's role or cell, changed.
+    std::function<void(const FleetView &fleet)> m_onFleetChange;
+    /// Called when the VM with this load message address needs the requests that this VM has in
+    /// flight.
+    std::function<void(const Address &loads)> m_sendLoads;
 };
 
 class FleetLink
@@ -61,25 +64,26 @@
     FleetLink(const FleetLink &) = delete;
     FleetLink &operator=(const FleetLink &) = delete;
 
-    /// Binds the addresses; port 0 takes one from the kernel. @p loads is where the peers send what
-    /// they place. Before the thread starts.
+    /// Binds the sockets; port 0 lets the kernel choose. @p loads is the address on which this VM
+    /// receives load messages. Call it before the thread starts.
     Status listen(const Address &loads);
     /// Starts the fibers. On the thread.
     void start();
     /// Tells the peers that this VM drains. On the thread.
-    void leave();
-    /// Begins to remove the object of this VM, unless the store is away. Once, after leave(). On
-    /// the thread.
+    void announceDrain();
+    /// Starts to remove this VM's object, unless the store is unavailable. Call it once, after
+    /// announceDrain(). On the thread.
     void removeObject();
-    /// Tells the peers that nothing more comes from this VM, once the object is removed or it is
-    /// @p by. On the thread.
-    void goodbye(TimePoint by);
-    /// Writes the object of this VM again soon, as the store may have lost it. On the thread.
-    void writeAgain();
-    /// Tells the live peers at once, as there are news. On the thread.
-    void beatNow();
-    /// Whether this VM is to follow the store for the others of its data centre. On the thread.
-    bool onDuty() const;
+    /// Sends the last heartbeat of this process, after the object is removed or at @p by. Blocks
+    /// the fiber. On the thread.
+    void announceExit(TimePoint by);
+    /// Writes this VM's object again after a random delay, because the store may have lost it. On
+    /// the thread.
+    void rewriteObject();
+    /// Sends a heartbeat to all live peers immediately, after a change. On the thread.
+    void sendHeartbeatsNow();
+    /// Whether this VM watches the store for the other VMs of its data centre. On the thread.
+    bool watchesStore() const;
 
 private:
     struct State;
--- a/relay/fleet_messages.h
+++ b/relay/fleet_messages.h
@@ -1,4 +1,4 @@
-/// What the VMs of a deployment tell each other about their beliefs.
+/// Messages between the VMs of a deployment about the configuration and endpoints that they hold.
 #pragma once
 
 #include "net/net.h"
@@ -6,64 +6,70 @@
 
 namespace stackquay {
 
-/// What a VM knows, without the content.
-struct BeliefSummary {
+/// Versions and freshness of the state that a VM holds, without the content.
+struct StateSummary {
     uint64_t m_routesVersion = 0; ///< Zero: none.
     bool m_proved = false;
-    uint32_t m_proofAgeMs = 0; ///< Of that version, if proved.
-    uint64_t m_proofEra = 0; ///< Of the store that proved it.
-    uint64_t m_era = 0; ///< The highest of the store that the VM has heard of.
-    StorePosition m_directory; ///< Not known: none.
-    bool m_directorySure = false; ///< Nothing in that directory is in doubt.
-    StorePosition m_sure; ///< The last one at which nothing was in doubt.
-    bool m_reachesStore = true; ///< As far as the VM has tried lately.
+    uint32_t m_proofAgeMs = 0; ///< Age of the freshness proof for that version, if proved.
+    uint64_t m_proofEra = 0; ///< Store era of the proof.
+    uint64_t m_era = 0; ///< The highest store era known to the VM.
+    StorePosition m_directory; ///< Position of the endpoint directory; unknown if the VM has none.
+    bool m_directoryConfirmed = false; ///< No endpoint in the directory is unconfirmed.
+    /// The last directory position at which no endpoint was unconfirmed.
+    StorePosition m_lastConfirmed;
+    bool m_reachesStore = true; ///< Whether recent calls to the store succeeded.
 
     MSGPACK_DEFINE(m_routesVersion, m_proved, m_proofAgeMs, m_proofEra, m_era, m_directory,
-                   m_directorySure, m_sure, m_reachesStore)
+                   m_directoryConfirmed, m_lastConfirmed, m_reachesStore)
 };
 
-/// Sent to each peer by UDP some times a second, and when there are news.
+/// Sent to each peer by UDP periodically, and after changes.
 struct Beat {
     VmId m_vm;
     DataCentreId m_dataCentre;
-    uint64_t m_origin = 0; ///< One process of the VM.
-    uint64_t m_sentUs = 0; ///< By the sender's steady clock, which starts anywhere.
-    Address m_calls; ///< TCP.
-    Address m_loads; ///< UDP.
-    BeliefSummary m_beliefs;
-    bool m_onDuty = false; ///< Follows the store for others.
-    bool m_leaving = false; ///< Drains: takes no duty, and still serves for some seconds.
-    bool m_gone = false; ///< The last beat of this process.
-    bool m_answer = false; ///< Sent only because the receiver had greeted.
-    bool m_asksLoads = false; ///< The sender does not know what the receiver has in flight.
-    uint32_t m_fleetVms = 0; ///< The most VMs that the sender has found registered.
+    uint64_t m_origin = 0; ///< Identifies one process of the VM.
+    uint64_t m_sentUs = 0; ///< Sender's steady clock, which has an arbitrary origin.
+    Address m_calls; ///< RPC address (TCP).
+    Address m_loads; ///< Address for load messages (UDP).
+    StateSummary m_stateSummary;
+    bool m_watchesStore = false; ///< The sender watches the store for its data centre.
+    /// The sender drains: it watches no store, and still serves for some seconds.
+    bool m_draining = false;
+    bool m_gone = false; ///< The last heartbeat of this process.
+    bool m_isReply = false; ///< Sent only in reply to a heartbeat of the receiver.
+    bool m_requestsLoads = false; ///< Asks the receiver for the requests that it has in flight.
+    uint32_t m_fleetVms = 0; ///< The highest number of registered VMs that the sender has found.
 
-    MSGPACK_DEFINE(m_vm, m_dataCentre, m_origin, m_sentUs, m_calls, m_loads, m_beliefs, m_onDuty,
-                   m_leaving, m_gone, m_answer, m_asksLoads, m_fleetVms)
+    MSGPACK_DEFINE(m_vm, m_dataCentre, m_origin, m_sentUs, m_calls, m_loads, m_stateSummary,
+                   m_watchesStore, m_draining, m_gone, m_isReply, m_requestsLoads, m_fleetVms)
 };
 
-/// A peer's routes and endpoints, with how old its proof of them is.
-struct Beliefs {
-    BeliefSummary m_summary;
-    std::string m_routesSpec; ///< As packText() makes it; empty if the asker's version is as high.
-    bool m_hasEndpoints = false; ///< False: the endpoints tell the asker nothing.
+/// A peer's routes and endpoints, with the age of its freshness proof.
+struct StateSnapshot {
+    StateSummary m_summary;
+    /// Encoded by packText(); empty if the caller's version is not older.
+    std::string m_routesSpec;
+    /// False: the endpoints are omitted, because the caller's directory is not older.
+    bool m_hasEndpoints = false;
     std::vector<EndpointRecord> m_endpoints;
-    std::vector<EndpointId> m_doubtful; ///< Of these.
-    std::vector<EndpointId> m_unreadable; ///< Not of these.
-    bool m_whole = false; ///< No living endpoint is missing.
-    std::vector<SuspectNews> m_condemned; ///< A VM that starts knows them before it is ready.
+    std::vector<EndpointId> m_doubtful; ///< Those of m_endpoints that are unconfirmed.
+    /// Endpoints whose entries cannot be decoded; not in m_endpoints.
+    std::vector<EndpointId> m_unreadable;
+    bool m_whole = false; ///< The list is complete.
+    std::vector<SuspectNews> m_quarantined; ///< A new VM needs these before it becomes ready.
 
     MSGPACK_DEFINE(m_summary, m_routesSpec, m_hasEndpoints, m_endpoints, m_doubtful, m_unreadable,
-                   m_whole, m_condemned)
+                   m_whole, m_quarantined)
 };
 
-struct AskBeliefs {
-    using Reply = Beliefs;
+struct StateRequest {
+    using Reply = StateSnapshot;
     static constexpr std::string_view RpcName = "beliefs";
 
-    uint64_t m_routesVersion = 0; ///< That the asker has.
+    uint64_t m_routesVersion = 0; ///< The caller's version.
     StorePosition m_directory;
-    bool m_inDoubt = false; ///< Asks for the endpoints in any case.
+    /// The caller has unconfirmed endpoints, and requests the endpoints in any case.
+    bool m_inDoubt = false;
 
     MSGPACK_DEFINE(m_routesVersion, m_directory, m_inDoubt)
 };
--- a/relay/load_exchange.cpp
+++ b/relay/load_exchange.cpp
@@ -6,35 +6,35 @@
 
 namespace {
 
-/// Fits into a packet of any network in use.
-constexpr size_t DatagramBytes = 1'200;
-/// A datagram is an array of messages: the most that its head takes.
-constexpr size_t ArrayHeadBytes = 5;
-/// At most this is told to a new peer: some 250 streams, or some thirty long prompts that seventeen
-/// engines each read. It bounds what a VM sends when many others start at once.
-constexpr size_t MostDatagrams = 16;
+/// Fits into one packet on all networks in use.
+constexpr size_t MaxDatagramBytes = 1'200;
+/// Maximum size of the array header; a datagram is an array of messages.
+constexpr size_t ArrayHeaderBytes = 5;
+/// Limit for a new peer: about 250 streams, or about 30 long prompts whose prefill is shared by 17
+/// engines. It bounds the traffic of a VM when many others start at once.
+constexpr size_t MaxDatagramsPerPeer = 16;
 
 } // namespace
 
 std::vector<std::string> packLoads(const std::vector<LoadMessage> &messages)
 {
     std::vector<std::string> datagrams;
-    std::vector<LoadMessage> together;
-    size_t size = ArrayHeadBytes;
+    std::vector<LoadMessage> batch;
+    size_t size = ArrayHeaderBytes;
     for (const LoadMessage &message : messages) {
         const size_t more = encodeMessage(message).size();
-        if (!together.empty() && size + more > DatagramBytes) {
-            datagrams.push_back(encodeMessage(together));
-            together.clear();
-            size = ArrayHeadBytes;
+        if (!batch.empty() && size + more > MaxDatagramBytes) {
+            datagrams.push_back(encodeMessage(batch));
+            batch.clear();
+            size = ArrayHeaderBytes;
         }
-        if (datagrams.size() == MostDatagrams)
+        if (datagrams.size() == MaxDatagramsPerPeer)
             return datagrams;
-        together.push_back(message);
+        batch.push_back(message);
         size += more;
     }
-    if (!together.empty())
-        datagrams.push_back(encodeMessage(together));
+    if (!batch.empty())
+        datagrams.push_back(encodeMessage(batch));
     return datagrams;
 }
 
@@ -48,7 +48,7 @@
     Receiver m_receiver;
     std::vector<boost::asio::ip::udp::endpoint> m_peers;
     std::vector<boost::asio::ip::udp::endpoint> m_contacts;
-    uint64_t m_refused = 0; ///< Datagrams that were no message.
+    uint64_t m_malformed = 0; ///< Datagrams that could not be decoded.
 
     void send(const LoadMessage &message,
               const std::vector<boost::asio::ip::udp::endpoint> &receivers)
@@ -91,8 +91,8 @@
                     state->m_receiver(message);
                 return;
             }
-            // Whoever sends garbage may send a lot of it: the first says enough.
-            if (state->m_refused++ == 0)
+            // Only the first one is logged: a faulty sender may send many.
+            if (state->m_malformed++ == 0)
                 log(LogPart::Peers).warn("Load message not understood. from={}", toString(from));
         });
 }
@@ -117,7 +117,7 @@
     m_state->send(message, m_state->m_contacts);
 }
 
-void LoadExchange::tell(const Address &peer, const std::vector<LoadMessage> &messages)
+void LoadExchange::sendAll(const Address &peer, const std::vector<LoadMessage> &messages)
 {
     const auto endpoint = toUdp(peer);
     if (!endpoint)
--- a/relay/load_exchange.h
+++ b/relay/load_exchange.h
@@ -1,7 +1,8 @@
-/// Tells the other VMs what this one places at endpoints, and hears the same from them, over UDP.
+/// Exchanges with the other VMs, over UDP, which requests each VM has placed on which endpoints.
 ///
-/// One datagram to each peer for a placement, a first event and an end; some with many messages to
-/// a peer that is new. Nothing is acknowledged: the ledger is a hint, and its entries expire.
+/// A placement, a first event and an end each take one datagram to each peer; a new peer receives
+/// several datagrams with many messages each. Nothing is acknowledged: the shared ledger is a hint,
+/// and its entries expire.
 #pragma once
 
 #include <memory>
@@ -16,35 +17,38 @@
     Placed = 0,
     FirstEvent = 1,
     Ended = 2,
-    Ejected = 4, ///< An endpoint cannot be reached from the sender's data centre.
-    Waiting = 3, ///< A request waits for its turn; ends with Placed or Ended of the same key.
-    Suspected = 5, ///< Processes of endpoints ended under requests.
-    Cleared = 6, ///< A suspect completed.
-    BrokenOff = 7, ///< An endpoint broke off the answer to an attempt on a new connection.
+    Ejected = 4, ///< The endpoint cannot be reached from the sender's data centre.
+    Waiting = 3, ///< A request is queued; ends with Placed or Ended for the same key.
+    Suspected = 5, ///< Endpoint processes exited while they ran the requests.
+    Cleared = 6, ///< A suspected request completed.
+    BrokenOff = 7, ///< An endpoint broke off its response on a new connection.
 };
 
 struct LoadMessage {
     LoadChange m_change = LoadChange::Placed;
     LoadKey m_key;
-    std::vector<LoadPart> m_parts{}; ///< Placed; ejected and broken off: the endpoint.
-    DataCentreId m_dataCentre{}; ///< Ejected only: of the sender.
-    uint32_t m_gapLimitMs = 0; ///< Placed and waiting.
-    uint32_t m_expiresMs = 0; ///< Placed and waiting: from now.
-    uint32_t m_ageMs = 0; ///< Placed, if told later: how long ago.
-    bool m_writing = false; ///< Placed, if told later: the first event came.
-    uint32_t m_aimMs = 0; ///< Waiting only: when the first event is wanted, from now.
-    uint32_t m_neededMs = 0; ///< Waiting only: as WaitingTurn.
-    std::vector<Fingerprint> m_prints{}; ///< Placed, if it is a suspect, and cleared: its name.
-    std::vector<SuspectNews> m_suspects{}; ///< Suspected; cleared: with the ends that are cleared.
-    uint32_t m_cell = 0; ///< Suspected and cleared: of the sender.
-    uint32_t m_leadMs = 0; ///< Waiting only: as WaitingTurn.
+    /// Placed: the load on each endpoint. Ejected and BrokenOff: the endpoint.
+    std::vector<LoadPart> m_parts{};
+    DataCentreId m_dataCentre{}; ///< Ejected: data centre of the sender.
+    uint32_t m_gapLimitMs = 0; ///< Placed and Waiting.
+    uint32_t m_expiresMs = 0; ///< Placed and Waiting: time until expiry.
+    uint32_t m_ageMs = 0; ///< Placed, if sent again later: time since the placement.
+    bool m_writing = false; ///< Placed, if sent again later: the first event has arrived.
+    uint32_t m_aimMs = 0; ///< Waiting: time until the target for the first event.
+    uint32_t m_neededMs = 0; ///< Waiting: see WaitingTurn.
+    /// Placed, if the request is a suspect, and Cleared: fingerprint of the request.
+    std::vector<Fingerprint> m_fingerprints{};
+    /// Suspected: the reports. Cleared: the process exits that are cleared.
+    std::vector<SuspectNews> m_suspects{};
+    uint32_t m_cell = 0; ///< Suspected and Cleared: cell of the sender.
+    uint32_t m_leadMs = 0; ///< Waiting: see WaitingTurn.
 
     MSGPACK_DEFINE(m_change, m_key, m_parts, m_dataCentre, m_gapLimitMs, m_expiresMs, m_ageMs,
-                   m_writing, m_aimMs, m_neededMs, m_prints, m_suspects, m_cell, m_leadMs)
+                   m_writing, m_aimMs, m_neededMs, m_fingerprints, m_suspects, m_cell, m_leadMs)
 };
 
-/// The messages of @p messages as datagrams that no network splits; those after the bound of what
-/// one peer is told are left out.
+/// Encodes @p messages as datagrams that fit into one packet each. Messages beyond the limit for
+/// one peer are dropped.
 std::vector<std::string> packLoads(const std::vector<LoadMessage> &messages);
 
 /// Used on the traffic thread only.
@@ -53,22 +57,23 @@
 public:
     using Receiver = std::function<void(const LoadMessage &)>;
 
-    /// @p thread must be stopped before the exchange is destroyed.
+    /// @p thread must be stopped before the exchange is destroyed. @p receiver is called for each
+    /// message.
     LoadExchange(FiberThread &thread, Receiver receiver);
     ~LoadExchange();
     LoadExchange(const LoadExchange &) = delete;
     LoadExchange &operator=(const LoadExchange &) = delete;
 
-    /// Binds, and starts to receive. Before the thread starts or on it. Port 0 takes one from the
-    /// kernel.
+    /// Binds the socket and starts to receive. Call it before the thread starts, or on the thread.
+    /// Port 0 lets the kernel choose; the result is the bound address.
     Result<Address> listen(const Address &address);
     void setPeers(const std::vector<Address> &peers);
-    /// VMs of other cells, which tell theirs.
+    /// Sets the VMs of other cells, which forward messages within their cells.
     void setContacts(const std::vector<Address> &contacts);
     void send(const LoadMessage &message);
     void sendToContacts(const LoadMessage &message);
-    /// Sends @p messages to one peer, packed.
-    void tell(const Address &peer, const std::vector<LoadMessage> &messages);
+    /// Sends @p messages to one peer, with several messages in a datagram.
+    void sendAll(const Address &peer, const std::vector<LoadMessage> &messages);
 
 private:
     struct State;
--- a/relay/memory_tickets.cpp
+++ b/relay/memory_tickets.cpp
@@ -8,49 +8,51 @@
 
 namespace {
 
-/// An order is answered in a round trip; one that is not may be carried out late.
-constexpr Duration OrderTimeout = Millis(400);
-/// An order under the same name changes nothing, so that it may be sent again.
-constexpr Duration OrderReplaceAfter = OrderTimeout / 2;
-/// Of the time within which memory must be free, so much is held at once.
+/// Engines answer within a round trip; a request without an answer may still be carried out late.
+constexpr Duration ReservationTimeout = Millis(400);
+/// Reservations are idempotent by id, so a request may be sent again on a new connection.
+constexpr Duration ReplaceConnectionAfter = ReservationTimeout / 2;
+/// Hold time, as a share of the time within which unused memory must be free.
 constexpr double HoldShare = 0.75;
-/// Renewed this often in a hold, so that one lost renewal cuts nothing.
+/// One lost renewal does not end a reservation.
 constexpr int RenewalsPerHold = 3;
 constexpr unsigned StatusGranted = 200;
 
-struct Ticket {
+struct Reservation {
     EndpointRecord m_endpoint; ///< The process that holds the memory.
     Address m_address;
-    MemoryOrder m_order;
+    MemoryOrder m_request;
 };
 
-/// A later process under the endpoint's id knows nothing of the ticket, and is sent nothing.
-Result<HttpResponse> sendOrder(RelayNode &node, const Ticket &ticket, const HttpRequest &order)
+/// Sends nothing if another process runs under the endpoint's id now: it does not have the
+/// reservation.
+Result<HttpResponse> sendReservation(RelayNode &node, const Reservation &reservation,
+                                     const HttpRequest &request)
 {
-    if (!node.isPresent(ticket.m_endpoint))
+    if (!node.isCurrentProcess(reservation.m_endpoint))
         return makeError(ErrorCode::Unavailable, "the endpoint's process is another one now");
     HttpCallOptions options;
-    options.m_timeout = OrderTimeout;
-    options.m_replaceAfter = OrderReplaceAfter;
-    return node.m_pool.call(ticket.m_address, order, options);
+    options.m_timeout = ReservationTimeout;
+    options.m_replaceAfter = ReplaceConnectionAfter;
+    return node.m_pool.call(reservation.m_address, request, options);
 }
 
-Millis holdOf(const RelayBounds &bounds)
+Millis holdDuration(const RelayBounds &bounds)
 {
     const auto hold = std::chrono::duration_cast<Millis>(bounds.m_freeMemory * HoldShare);
     return std::min(hold, bounds.m_longestHold);
 }
 
-void release(RelayNode &node, const std::vector<Ticket> &tickets)
+void release(RelayNode &node, const std::vector<Reservation> &reservations)
 {
-    for (const Ticket &ticket : tickets) {
-        const auto answer =
-            sendOrder(node, ticket, node.m_dialect.m_release(ticket.m_order.m_ticket));
+    for (const Reservation &reservation : reservations) {
+        const auto answer = sendReservation(
+            node, reservation, node.m_dialect.m_release(reservation.m_request.m_ticket));
         if (!answer) {
-            // Its hold ends by itself.
+            // The reservation expires by itself.
             DecisionLine("relay", "release not answered")
-                .text("endpoint", ticket.m_endpoint.m_id.str())
-                .text("ticket", ticket.m_order.m_ticket)
+                .text("endpoint", reservation.m_endpoint.m_id.str())
+                .text("ticket", reservation.m_request.m_ticket)
                 .text("error", answer.error().m_message)
                 .write();
         }
@@ -59,31 +61,32 @@
 
 } // namespace
 
-struct MemoryTickets::Held {
-    std::vector<Ticket> m_tickets;
+struct MemoryTickets::Shared {
+    std::vector<Reservation> m_reservations;
     bool m_released = false;
 };
 
 MemoryTickets::MemoryTickets(RelayNode &node)
     : m_node(node)
-    , m_held(std::make_shared<Held>())
+    , m_shared(std::make_shared<Shared>())
 { }
 
 MemoryTickets::~MemoryTickets()
 {
-    m_held->m_released = true;
-    if (m_held->m_tickets.empty())
+    m_shared->m_released = true;
+    if (m_shared->m_reservations.empty())
         return;
-    spawnFiber([&node = m_node, held = m_held] { release(node, held->m_tickets); });
+    spawnFiber([&node = m_node, shared = m_shared] { release(node, shared->m_reservations); });
 }
 
-void MemoryTickets::giveBack()
+void MemoryTickets::releaseAll()
 {
-    if (m_held->m_tickets.empty())
+    if (m_shared->m_reservations.empty())
         return;
-    spawnFiber(
-        [&node = m_node, tickets = std::move(m_held->m_tickets)] { release(node, tickets); });
-    m_held->m_tickets.clear();
+    spawnFiber([&node = m_node, reservations = std::move(m_shared->m_reservations)] {
+        release(node, reservations);
+    });
+    m_shared->m_reservations.clear();
 }
 
 Status MemoryTickets::reserve(const std::vector<GangMember> &members, const bool &abandoned)
@@ -94,46 +97,49 @@
     std::sort(wanted.begin(), wanted.end(), [](const auto &left, const auto &right) {
         return left.m_endpoint.m_id < right.m_endpoint.m_id;
     });
-    const Millis hold = holdOf(m_node.m_view.load()->m_bounds);
+    const Millis hold = holdDuration(m_node.m_view.load()->m_bounds);
     for (const GangMember &member : wanted) {
         if (abandoned) {
-            giveBack();
+            releaseAll();
             return makeError(ErrorCode::Cancelled, "the caller left");
         }
         const auto address = parseAddress(member.m_endpoint.m_address);
         if (!address)
             return tl::unexpected(address.error());
-        const std::string name = fmt::format("{:x}-{}", m_node.m_origin, ++m_node.m_sequence);
-        const Ticket ticket{ member.m_endpoint, *address, { name, member.m_tokens, hold } };
-        const auto answer = sendOrder(m_node, ticket, m_node.m_dialect.m_reserve(ticket.m_order));
-        // Without an answer it may still be granted: it is released with the others.
+        const std::string ticket = fmt::format("{:x}-{}", m_node.m_origin, ++m_node.m_sequence);
+        const Reservation reservation{ member.m_endpoint,
+                                       *address,
+                                       { ticket, member.m_tokens, hold } };
+        const auto answer =
+            sendReservation(m_node, reservation, m_node.m_dialect.m_reserve(reservation.m_request));
+        // Without an answer it may have been granted, so it is released with the others.
         if (!answer || answer->m_status == StatusGranted)
-            m_held->m_tickets.push_back(ticket);
+            m_shared->m_reservations.push_back(reservation);
         if (answer && answer->m_status == StatusGranted) {
-            m_node.m_metrics.m_tickets.add();
+            m_node.m_metrics.m_reservations.add();
             continue;
         }
-        m_node.m_metrics.m_ticketsRefused.add();
-        m_refusedBy = member.m_endpoint.m_id;
-        giveBack();
+        m_node.m_metrics.m_reservationsRefused.add();
+        m_refusingEndpoint = member.m_endpoint.m_id;
+        releaseAll();
         return makeError(answer ? ErrorCode::ResourceExhausted : ErrorCode::OutcomeUnknown,
                          answer ? fmt::format("status {}", answer->m_status)
                                 : answer.error().m_message);
     }
-    if (m_held->m_tickets.empty())
+    if (m_shared->m_reservations.empty())
         return {};
-    spawnFiber([&node = m_node, held = m_held, hold] {
-        while (sleepFor(node.m_thread.context(), hold / RenewalsPerHold) && !held->m_released) {
-            for (const Ticket &ticket : held->m_tickets) {
-                if (held->m_released)
+    spawnFiber([&node = m_node, shared = m_shared, hold] {
+        while (sleepFor(node.m_thread.context(), hold / RenewalsPerHold) && !shared->m_released) {
+            for (const Reservation &reservation : shared->m_reservations) {
+                if (shared->m_released)
                     return;
-                const auto answer =
-                    sendOrder(node, ticket, node.m_dialect.m_reserve(ticket.m_order));
+                const auto answer = sendReservation(
+                    node, reservation, node.m_dialect.m_reserve(reservation.m_request));
                 if (answer && answer->m_status == StatusGranted)
                     continue;
                 DecisionLine("relay", "renewal not granted")
-                    .text("endpoint", ticket.m_endpoint.m_id.str())
-                    .text("ticket", ticket.m_order.m_ticket)
+                    .text("endpoint", reservation.m_endpoint.m_id.str())
+                    .text("ticket", reservation.m_request.m_ticket)
                     .number("status", answer ? answer->m_status : 0)
                     .write();
             }
@@ -142,11 +148,11 @@
     return {};
 }
 
-std::string MemoryTickets::ticketAt(const EndpointId &endpoint) const
+std::string MemoryTickets::ticketFor(const EndpointId &endpoint) const
 {
-    for (const Ticket &ticket : m_held->m_tickets) {
-        if (ticket.m_endpoint.m_id == endpoint)
-            return ticket.m_order.m_ticket;
+    for (const Reservation &reservation : m_shared->m_reservations) {
+        if (reservation.m_endpoint.m_id == endpoint)
+            return reservation.m_request.m_ticket;
     }
     return {};
 }
--- a/relay/memory_tickets.h
+++ b/relay/memory_tickets.h
@@ -1,8 +1,8 @@
-/// Memory of engines reserved for one attempt: all or nothing, renewed while it is used, released
+/// Engine memory reserved for one attempt: all or nothing, renewed while it is in use, and released
 /// on every path.
 ///
-/// A reservation's hold is shorter than the time within which unused memory must be free. So when a
-/// VM dies, or an order is carried out late, nothing stays reserved for long.
+/// The hold time of a reservation is shorter than the time within which unused memory must be free.
+/// So nothing stays reserved for long if a VM crashes or an engine handles a request late.
 #pragma once
 
 #include <memory>
@@ -17,28 +17,28 @@
 {
 public:
     explicit MemoryTickets(RelayNode &node);
-    /// Releases what is held, in the background.
+    /// Releases all reservations in the background.
     ~MemoryTickets();
     MemoryTickets(const MemoryTickets &) = delete;
     MemoryTickets &operator=(const MemoryTickets &) = delete;
 
-    /// Reserves what @p members ask for, in the order of the endpoints' ids, so that two requests
-    /// cannot each hold what the other lacks. On an error nothing is held.
-    /// Gives up, and what it has back, once @p abandoned.
+    /// Reserves the memory that @p members request, in the order of the endpoint ids, so that two
+    /// requests cannot deadlock. After an error nothing stays reserved; see refusingEndpoint().
+    /// Stops and releases what it has once @p abandoned is true. Blocks the fiber.
     Status reserve(const std::vector<GangMember> &members, const bool &abandoned);
-    /// The ticket at @p endpoint, or an empty text.
-    std::string ticketAt(const EndpointId &endpoint) const;
+    /// The reservation id on @p endpoint; empty if there is none.
+    std::string ticketFor(const EndpointId &endpoint) const;
     /// The endpoint that did not grant the last reserve().
-    const EndpointId &refusedBy() const { return m_refusedBy; }
+    const EndpointId &refusingEndpoint() const { return m_refusingEndpoint; }
 
 private:
-    void giveBack();
+    void releaseAll();
 
-    struct Held;
+    struct Shared;
 
     RelayNode &m_node;
-    std::shared_ptr<Held> m_held;
-    EndpointId m_refusedBy;
+    std::shared_ptr<Shared> m_shared;
+    EndpointId m_refusingEndpoint;
 };
 
 } // namespace stackquay
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -1,4 +1,4 @@
-/// Part of RelayRun: one attempt at an endpoint, from its memory to its last event.
+/// Part of RelayRun: one attempt at an endpoint, from the memory reservation to the last event.
 #include <algorithm>
 
 #include <fmt/format.h>
@@ -13,24 +13,26 @@
 constexpr unsigned StatusRedirect = 300;
 constexpr unsigned StatusServerError = 500;
 
-/// A data centre away a connection takes a few ms; a lost packet is sent again after a second.
+/// A connection to another data centre takes a few milliseconds; TCP sends a lost packet again
+/// after a second.
 constexpr Millis ConnectTimeout{ 200 };
-/// What may run only once, and what is sent once more, goes on a connection that carried an answer
-/// within this part of the time in which service must be back after a disturbance (250 ms of 3 s),
-/// or on a new one: idle connections may have fallen silent.
+/// Requests that may run only once, and retrys, use a connection that carried a response
+/// within this part of the recovery time (250 ms of 3 s), or a new one: idle connections may be
+/// dead.
 constexpr int JustUsedShare = 12;
-/// What is left of an answer whose head has come.
+/// For the rest of a response whose head has arrived.
 constexpr Millis BodyTimeout{ 1'000 };
 
-/// A repeat after this part of the client's patience still comes in time.
+/// A repeat that starts after this part of the client's patience still succeeds in time.
 constexpr double PatienceShare = 0.45;
-constexpr Millis LeastPatience{ 300 };
-/// A first event is not late before so many times its prediction.
+constexpr Millis MinFirstEventTimeout{ 300 };
+/// A first event is late after this multiple of its predicted time.
 constexpr double LateFactor = 2;
-/// Plain services that are silent for this many aims are given up, where that is allowed.
+/// An attempt at a plain service is abandoned after this multiple of the route's target time, if a
+/// repeat is allowed.
 constexpr int ServiceAims = 2;
 
-/// Entries of a ledger live at most this much longer than their deadline.
+/// Ledger entries expire this long after the deadline of their request.
 constexpr Millis LedgerSlack{ 500 };
 
 bool isSuccess(unsigned status)
@@ -40,139 +42,144 @@
 
 } // namespace
 
-RelayRun::AttemptEnd RelayRun::attempt(const GangPlan &plan)
+RelayRun::AttemptResult RelayRun::attempt(const GangPlan &plan)
 {
     m_plan = &plan;
-    MemoryTickets tickets(m_node);
-    const Status reserved = tickets.reserve(plan.m_members, m_hungUp);
+    MemoryTickets reservations(m_node);
+    const Status reserved = reservations.reserve(plan.m_members, m_clientLeft);
     if (!reserved) {
-        m_node.end(m_load);
-        m_why = "memory not reserved: " + reserved.error().m_message;
+        m_node.end(m_loadKey);
+        m_failureReason = "memory not reserved: " + reserved.error().m_message;
         if (reserved.error().m_code == ErrorCode::OutcomeUnknown)
-            m_node.noteFailure(tickets.refusedBy(), FailureWeight::Chance,
+            m_node.noteFailure(reservations.refusingEndpoint(), FailureWeight::Chance,
                                "reservation not answered");
-        if (!sleepFor(m_node.m_thread.context(), PlacementPause))
-            return AttemptEnd::Failed;
-        return AttemptEnd::NotSent;
+        if (!sleepFor(m_node.m_thread.context(), PlacementRetryDelay))
+            return AttemptResult::Failed;
+        return AttemptResult::NotSent;
     }
     std::vector<LoadPart> parts;
     for (const GangMember &member : plan.m_members)
         parts.push_back({ member.m_endpoint.m_id, member.m_readMs, member.m_tokens });
-    m_node.place(m_load, std::move(parts), gapLimitMs(), left() + LedgerSlack,
+    m_node.place(m_loadKey, std::move(parts), gapLimitMs(), remainingTime() + LedgerSlack,
                  m_care == SuspectCare::None ? std::nullopt : m_print);
     logPlacement(plan);
-    const AttemptEnd end = attemptPlaced(plan, tickets);
-    m_node.end(m_load);
+    const AttemptResult end = attemptPlaced(plan, reservations);
+    m_node.end(m_loadKey);
     return end;
 }
 
-Duration RelayRun::silencePatience() const
+Duration RelayRun::streamSilenceTimeout() const
 {
     return std::chrono::duration_cast<Duration>(clientPatience() * PatienceShare);
 }
 
 bool RelayRun::mayRepeat() const
 {
-    // An answer that is slow is better than one broken off for a repeat that the budget refuses.
-    return !strict() && m_mayHaveRun < m_route->m_maxAttempts
+    // A slow response is better than one cancelled for a repeat that the retry budget refuses.
+    return !atMostOnce() && m_mayHaveRun < m_route->m_maxAttempts
            && m_node.mayRepeat(m_serviceId, *m_view);
 }
 
-Duration RelayRun::firstPatience(const GangPlan &plan) const
+Duration RelayRun::firstEventTimeout(const GangPlan &plan) const
 {
     if (!mayRepeat())
-        return left();
+        return remainingTime();
     if (m_route->m_kind != RouteKind::Stream)
-        return std::max<Duration>(m_route->m_aim * ServiceAims, LeastPatience);
-    // Where much waits, a late first event says little about the endpoint.
-    return std::max(silencePatience(),
+        return std::max<Duration>(m_route->m_aim * ServiceAims, MinFirstEventTimeout);
+    // With a long backlog, a late first event says little about the endpoint.
+    return std::max(streamSilenceTimeout(),
                     std::chrono::duration_cast<Duration>(plan.m_firstEvent * LateFactor));
 }
 
-HttpRequest RelayRun::upstreamRequest(const GangPlan &plan, const MemoryTickets &tickets) const
+HttpRequest RelayRun::upstreamRequest(const GangPlan &plan, const MemoryTickets &reservations) const
 {
     const HttpRequest &request = m_exchange.request();
     AttemptHead head;
     head.m_endpoint = plan.m_members.front().m_endpoint.m_id;
-    head.m_left = std::chrono::duration_cast<Millis>(left());
+    head.m_left = std::chrono::duration_cast<Millis>(remainingTime());
     head.m_customer = m_customer;
     head.m_lastEvent = m_lastEvent;
     if (m_service && m_service->m_engine)
         head.m_urgency = m_urgency;
     for (size_t i = 1; i < plan.m_members.size(); ++i) {
         const EndpointRecord &helper = plan.m_members[i].m_endpoint;
-        head.m_helpers.push_back({ helper.m_address, tickets.ticketAt(helper.m_id) });
+        head.m_helpers.push_back({ helper.m_address, reservations.ticketFor(helper.m_id) });
     }
     return { request.m_method, request.m_target, m_node.m_dialect.m_writeAttempt(m_head, head),
              request.m_body };
 }
 
-RelayRun::AttemptEnd RelayRun::attemptPlaced(const GangPlan &plan, const MemoryTickets &tickets)
+RelayRun::AttemptResult RelayRun::attemptPlaced(const GangPlan &plan,
+                                                const MemoryTickets &reservations)
 {
     const EndpointRecord &endpoint = plan.m_members.front().m_endpoint;
     const auto address = parseAddress(endpoint.m_address);
     if (!address)
         return failAttempt(endpoint, FailureWeight::Telling, "no address");
-    // Memory that waits at other endpoints makes a silent connection dear, too.
+    // A dead connection is also costly if memory is reserved on other endpoints meanwhile.
     const bool holdsMemory = std::any_of(plan.m_members.begin(), plan.m_members.end(),
                                          [](const GangMember &member) { return member.m_reserve; });
-    const bool proved = strict() || m_arrivals > 0 || holdsMemory;
+    const bool proved = atMostOnce() || m_sentAttempts > 0 || holdsMemory;
     const Duration justUsed = m_node.m_settings.m_bounds.m_contact / JustUsedShare;
-    auto connection = m_node.m_pool.acquire(*address, std::min<Duration>(left(), ConnectTimeout),
-                                            false, proved ? justUsed : Duration::max());
+    auto connection =
+        m_node.m_pool.acquire(*address, std::min<Duration>(remainingTime(), ConnectTimeout), false,
+                              proved ? justUsed : Duration::max());
     if (!connection) {
         failAttempt(endpoint, FailureWeight::Telling, connection.error().m_message);
-        return AttemptEnd::NotSent;
+        return AttemptResult::NotSent;
     }
-    // It may have left before it was read, or while this waited, with the news still to be heard.
-    m_hungUp = m_hungUp || m_exchange.callerLeft();
-    // Nothing waits from here to the send, so that giveUp() comes before this or finds it.
-    if (m_hungUp || m_node.m_ending || left() <= Duration::zero() || betterElsewhere()
-        || !maySend())
-        return AttemptEnd::NotSent;
+    // The client may have disconnected before its request was read, or while this fiber was
+    // blocked, without a notification yet.
+    m_clientLeft = m_clientLeft || m_exchange.callerLeft();
+    // The fiber does not yield from here to the send, so abortForShutdown() runs before this check
+    // or finds the connection.
+    if (m_clientLeft || m_node.m_stopping || remainingTime() <= Duration::zero()
+        || cannotFinishInDrain() || !maySend())
+        return AttemptResult::NotSent;
     const bool reused = (*connection)->reused();
     m_connection = connection->get();
-    const HttpRequest request = upstreamRequest(plan, tickets);
-    ++m_arrivals;
+    const HttpRequest request = upstreamRequest(plan, reservations);
+    ++m_sentAttempts;
     ++m_mayHaveRun;
     m_node.m_metrics.m_attempts.add();
-    const Status sent = (*connection)->send(request, std::min<Duration>(left(), BodyTimeout));
-    AttemptEnd end = AttemptEnd::Failed;
+    const Status sent =
+        (*connection)->send(request, std::min<Duration>(remainingTime(), BodyTimeout));
+    AttemptResult end = AttemptResult::Failed;
     if (sent) {
-        end = converse(**connection, endpoint, reused,
-                       std::min(Clock::now() + firstPatience(plan), m_deadline));
+        end = processResponse(**connection, endpoint, reused,
+                              std::min(Clock::now() + firstEventTimeout(plan), m_deadline));
     } else {
         failRead(**connection, endpoint, sent.error());
     }
     m_connection = nullptr;
-    if (end == AttemptEnd::Answered || end == AttemptEnd::NotRun)
+    if (end == AttemptResult::Answered || end == AttemptResult::NotRun)
         m_node.m_pool.release(*address, std::move(*connection));
     return end;
 }
 
-RelayRun::AttemptEnd RelayRun::failAttempt(const EndpointRecord &endpoint, FailureWeight weight,
-                                           std::string_view why)
+RelayRun::AttemptResult RelayRun::failAttempt(const EndpointRecord &endpoint, FailureWeight weight,
+                                              std::string_view why)
 {
-    // Broken off by this side.
-    if (m_hungUp || m_node.m_ending)
-        return AttemptEnd::Failed;
-    m_why = why;
-    m_tried.insert(endpoint.m_id);
+    // Cancelled by this side.
+    if (m_clientLeft || m_node.m_stopping)
+        return AttemptResult::Failed;
+    m_failureReason = why;
+    m_triedEndpoints.insert(endpoint.m_id);
     m_node.noteFailure(endpoint.m_id, weight, why);
     DecisionLine("relay", "attempt failed")
         .text("request", m_head.m_id.str())
-        .text("print", toString(print()))
+        .text("print", toString(fingerprint()))
         .text("endpoint", endpoint.m_id.str())
         .text("why", why)
         .number("ms", std::chrono::duration_cast<Millis>(Clock::now() - m_arrival).count())
         .write();
-    return AttemptEnd::Failed;
+    return AttemptResult::Failed;
 }
 
-RelayRun::AttemptEnd RelayRun::failSilent(const HttpConnection &connection,
-                                          const EndpointRecord &endpoint)
+RelayRun::AttemptResult RelayRun::failSilentConnection(const HttpConnection &connection,
+                                                       const EndpointRecord &endpoint)
 {
-    m_why = "the connection fell silent";
+    m_failureReason = "the connection fell silent";
     const auto address = parseAddress(endpoint.m_address);
     if (address)
         m_node.m_pool.noteSilent(*address, connection);
@@ -181,50 +188,52 @@
         .text("endpoint", endpoint.m_id.str())
         .number("ms", std::chrono::duration_cast<Millis>(Clock::now() - m_arrival).count())
         .write();
-    return AttemptEnd::Failed;
+    return AttemptResult::Failed;
 }
 
-RelayRun::AttemptEnd RelayRun::failRead(const HttpConnection &connection,
-                                        const EndpointRecord &endpoint, const Error &error)
+RelayRun::AttemptResult RelayRun::failRead(const HttpConnection &connection,
+                                           const EndpointRecord &endpoint, const Error &error)
 {
-    // Not the endpoint's failure: it can be reached, or a new connection tells otherwise.
+    // Not a failure of the endpoint: if it is unreachable, the next connection shows it.
     if (connection.silent())
-        return failSilent(connection, endpoint);
+        return failSilentConnection(connection, endpoint);
     const bool silent = error.m_code == ErrorCode::DeadlineExceeded;
-    // Out of time: that says nothing of the endpoint.
+    // Expiry of the request's deadline is not a failure of the endpoint.
     if (silent && Clock::now() >= m_deadline)
-        return AttemptEnd::Failed;
+        return AttemptResult::Failed;
     if (!silent)
-        noteBroken(connection, endpoint);
+        noteBrokenResponse(connection, endpoint);
     return failAttempt(endpoint, FailureWeight::Chance, silent ? "silent" : error.m_message);
 }
 
-void RelayRun::noteBroken(const HttpConnection &connection, const EndpointRecord &endpoint)
+void RelayRun::noteBrokenResponse(const HttpConnection &connection, const EndpointRecord &endpoint)
 {
-    if (m_hungUp || m_node.m_ending)
+    if (m_clientLeft || m_node.m_stopping)
         return;
-    // The others have to know at once that this attempt is over.
-    m_node.end(m_load);
+    // The other VMs need to know immediately that this attempt is over.
+    m_node.end(m_loadKey);
     std::vector<EndpointRecord> endpoints;
     for (const GangMember &member : m_plan->m_members)
         endpoints.push_back(member.m_endpoint);
-    if (m_node.m_suspects.noteBroken(endpoints, print()))
-        m_node.m_metrics.m_ends.add();
-    // Plain services tell no success, which would be missing beside it.
+    if (m_node.m_suspects.noteBrokenResponse(endpoints, fingerprint()))
+        m_node.m_metrics.m_processExits.add();
+    // No successes are reported for plain services, so their failures are not reported either.
     if (isModelRequest() && !connection.reused())
-        m_node.noteBrokenOff(endpoint.m_id);
+        m_node.reportBrokenResponse(endpoint.m_id);
 }
 
 void RelayRun::noteCompleted(unsigned status)
 {
     if (isSuccess(status) && maybeSuspect())
-        m_node.m_suspects.noteCompleted(print());
+        m_node.m_suspects.noteCompleted(fingerprint());
 }
 
-RelayRun::AttemptEnd RelayRun::converse(HttpConnection &connection, const EndpointRecord &endpoint,
-                                        bool reused, TimePoint firstBy)
+RelayRun::AttemptResult RelayRun::processResponse(HttpConnection &connection,
+                                                  const EndpointRecord &endpoint, bool reused,
+                                                  TimePoint firstEventBy)
 {
-    auto response = connection.readHeader(std::max<Duration>(firstBy - Clock::now(), Millis(1)));
+    auto response =
+        connection.readHeader(std::max<Duration>(firstEventBy - Clock::now(), Millis(1)));
     if (!response)
         return failRead(connection, endpoint, response.error());
     const AnswerHead head = m_node.m_dialect.m_readAnswer(*response);
@@ -233,29 +242,31 @@
         return failAttempt(endpoint, FailureWeight::Chance,
                            "the answer belongs to another request");
     if (head.m_notRun)
-        return takeRefusal(connection, endpoint, head, *response, reused);
+        return handleRefusal(connection, endpoint, head, *response, reused);
     if (m_route->m_kind == RouteKind::Stream && isSuccess(response->m_status))
-        return takeStream(connection, endpoint, head, *response, firstBy);
-    return takeAnswer(connection, endpoint, head, std::move(*response), firstBy);
+        return relayStream(connection, endpoint, head, *response, firstEventBy);
+    return relayWholeResponse(connection, endpoint, head, std::move(*response), firstEventBy);
 }
 
-RelayRun::AttemptEnd RelayRun::takeRefusal(HttpConnection &connection,
-                                           const EndpointRecord &endpoint, const AnswerHead &head,
-                                           const HttpResponse &response, bool reused)
+RelayRun::AttemptResult RelayRun::handleRefusal(HttpConnection &connection,
+                                                const EndpointRecord &endpoint,
+                                                const AnswerHead &head,
+                                                const HttpResponse &response, bool reused)
 {
     --m_mayHaveRun;
-    m_tried.insert(endpoint.m_id);
-    m_why = fmt::format("refused by the endpoint with status {}", response.m_status);
+    m_triedEndpoints.insert(endpoint.m_id);
+    m_failureReason = fmt::format("refused by the endpoint with status {}", response.m_status);
     EndpointId faulty = endpoint.m_id;
     if (!head.m_faultyAddress.empty()) {
         for (const EndpointRecord &candidate : candidates()) {
             if (candidate.m_address == head.m_faultyAddress)
                 faulty = candidate.m_id;
         }
-        m_tried.insert(faulty);
+        m_triedEndpoints.insert(faulty);
     }
     const bool telling = head.m_misdirected || faulty != endpoint.m_id;
-    m_node.noteFailure(faulty, telling ? FailureWeight::Telling : FailureWeight::None, m_why);
+    m_node.noteFailure(faulty, telling ? FailureWeight::Telling : FailureWeight::None,
+                       m_failureReason);
     DecisionLine("relay", "attempt refused")
         .text("request", m_head.m_id.str())
         .text("endpoint", endpoint.m_id.str())
@@ -263,18 +274,19 @@
         .number("status", response.m_status)
         .flag("reused", reused)
         .write();
-    // Read to its end, so that the connection can serve again.
-    const auto body = connection.readWhole(std::min<Duration>(left(), BodyTimeout));
+    // Reads the whole body, so that the connection can be reused.
+    const auto body = connection.readWhole(std::min<Duration>(remainingTime(), BodyTimeout));
     if (!body)
         connection.cancel();
-    return AttemptEnd::NotRun;
+    return AttemptResult::NotRun;
 }
 
-RelayRun::AttemptEnd RelayRun::takeAnswer(HttpConnection &connection,
-                                          const EndpointRecord &endpoint, const AnswerHead &head,
-                                          HttpResponse response, TimePoint firstBy)
+RelayRun::AttemptResult RelayRun::relayWholeResponse(HttpConnection &connection,
+                                                     const EndpointRecord &endpoint,
+                                                     const AnswerHead &head, HttpResponse response,
+                                                     TimePoint firstEventBy)
 {
-    const TimePoint by = std::max(firstBy, Clock::now() + BodyTimeout);
+    const TimePoint by = std::max(firstEventBy, Clock::now() + BodyTimeout);
     auto body = connection.readWhole(std::min(by, m_deadline) - Clock::now());
     if (!body)
         return failRead(connection, endpoint, body.error());
@@ -285,15 +297,15 @@
     if (response.m_status < StatusServerError) {
         recordSuccess(m_node.m_ejections, endpoint.m_id);
         noteCompleted(response.m_status);
-        passOn(response);
-        return AttemptEnd::Answered;
+        forwardResponse(response);
+        return AttemptResult::Answered;
     }
-    m_failure = std::move(response);
+    m_endpointFailure = std::move(response);
     return failAttempt(endpoint, FailureWeight::None,
-                       fmt::format("status {}", m_failure->m_status));
+                       fmt::format("status {}", m_endpointFailure->m_status));
 }
 
-bool RelayRun::takeEvents(EventSplitter &events, std::string &batch)
+bool RelayRun::collectEvents(EventSplitter &events, std::string &batch)
 {
     while (auto event = events.next()) {
         if (event->m_id) {
@@ -306,9 +318,10 @@
     return true;
 }
 
-RelayRun::AttemptEnd RelayRun::takeStream(HttpConnection &connection,
-                                          const EndpointRecord &endpoint, const AnswerHead &head,
-                                          const HttpResponse &response, TimePoint firstBy)
+RelayRun::AttemptResult RelayRun::relayStream(HttpConnection &connection,
+                                              const EndpointRecord &endpoint,
+                                              const AnswerHead &head, const HttpResponse &response,
+                                              TimePoint firstEventBy)
 {
     if (!head.m_signed || head.m_encoded)
         return failAttempt(endpoint, FailureWeight::Chance, "the answer is not the endpoint's own");
@@ -317,8 +330,8 @@
     bool first = true;
     for (;;) {
         const TimePoint silentUntil =
-            mayRepeat() ? std::min(m_deadline, Clock::now() + silencePatience()) : m_deadline;
-        const TimePoint until = first ? firstBy : silentUntil;
+            mayRepeat() ? std::min(m_deadline, Clock::now() + streamSilenceTimeout()) : m_deadline;
+        const TimePoint until = first ? firstEventBy : silentUntil;
         const Status read =
             connection.readBody(piece, std::max<Duration>(until - Clock::now(), Millis(1)));
         if (!read)
@@ -331,17 +344,17 @@
         }
         events.feed(piece);
         std::string batch;
-        const bool ordered = takeEvents(events, batch);
+        const bool ordered = collectEvents(events, batch);
         if (!batch.empty()) {
             if (first) {
                 first = false;
-                m_node.startWriting(m_load);
+                m_node.startWriting(m_loadKey);
                 recordSuccess(m_node.m_ejections, endpoint.m_id);
             }
-            passOnEvents(head, response.m_status, batch);
+            forwardEvents(head, response.m_status, batch);
         }
-        if (m_hungUp)
-            return AttemptEnd::Failed;
+        if (m_clientLeft)
+            return AttemptResult::Failed;
         if (!ordered)
             return failAttempt(endpoint, FailureWeight::Telling, "events out of order");
     }
@@ -352,10 +365,10 @@
     m_exchange.finish();
     noteCompleted(response.m_status);
     logEnd(RelayOutcome::Complete, response.m_status, endpoint.m_id.str());
-    return AttemptEnd::Answered;
+    return AttemptResult::Answered;
 }
 
-void RelayRun::passOnEvents(const AnswerHead &head, unsigned status, const std::string &batch)
+void RelayRun::forwardEvents(const AnswerHead &head, unsigned status, const std::string &batch)
 {
     const TimePoint now = Clock::now();
     Status passed;
@@ -364,11 +377,11 @@
         passed = m_exchange.write(batch);
     } else {
         m_streaming = true;
-        m_firstAfter = now - m_arrival;
-        m_node.m_metrics.recordFirst(*m_route, m_firstAfter);
+        m_firstEventDelay = now - m_arrival;
+        m_node.m_metrics.recordFirstEventTime(*m_route, m_firstEventDelay);
         passed = m_exchange.startStream(status, head.m_endToEnd, batch);
     }
-    m_hungUp = m_hungUp || !passed;
+    m_clientLeft = m_clientLeft || !passed;
     m_lastPassedOn = now;
 }
 
--- a/relay/relay_daemon.cpp
+++ b/relay/relay_daemon.cpp
@@ -11,30 +11,31 @@
 
 namespace {
 
-/// The balancer takes a VM out after two misses at one a second (the users' pages); what it sent
-/// last needs its way.
-constexpr Millis BalancerNotice{ 2'300 };
-/// Open connections are answered at least so long: clients that were told to leave have left, and
-/// one that sends later is refused at once, not cut.
+/// The load balancer removes a VM after two missed checks, one a second; the rest is for the
+/// requests that it sent last.
+constexpr Millis BalancerDetectionTime{ 2'300 };
+/// Open connections are served for at least this time: clients that were told to close have closed,
+/// and later requests are refused rather than cut.
 constexpr Millis DrainLinger{ 3'000 };
-/// Left of the grace when the daemon gives up what is in progress: a busy VM of a quarter of a
-/// core needs part of it to answer and to end.
+/// The part of the grace period that is left when the daemon aborts requests: a busy VM with a
+/// quarter of a core needs some of it to answer them and to exit.
 constexpr Millis GraceReserve{ 700 };
-/// For the answers to what is given up, and for the ends of open connections.
-constexpr Millis EndingTime{ 300 };
+/// For the answers to aborted requests, and for closing connections.
+constexpr Millis ShutdownTime{ 300 };
 constexpr Millis DrainPoll{ 20 };
-/// For the store to remove this VM's object, if the grace leaves it: a call that it answers at all
-/// takes no longer.
-constexpr Millis MostRemoval{ 1'200 };
-/// Calls that the store answers at all come within some hundred ms, also when it is slow.
+/// Limit for the removal of this VM's object, within the grace period: a call that the store
+/// answers at all takes no longer.
+constexpr Millis MaxRemovalTime{ 1'200 };
+/// Successful store calls take a few hundred milliseconds, even if the store is slow.
 constexpr Duration StoreTryTimeout = Millis(1'200);
 constexpr Duration StoreCallTimeout = Millis(2'500);
-/// A kept connection to the store that is silent for half a try's time leaves the other half for a
-/// new one.
+/// If a reused connection is silent for half of a try's timeout, the other half is left for a new
+/// connection.
 constexpr Duration StoreReplaceAfter = StoreTryTimeout / 2;
 constexpr double StoreReadsPerSecond = 20;
 constexpr double StoreWritesPerSecond = 5;
-/// The follower's own loops back off; the store's outage mode would notice a return later.
+/// The follower has its own backoff; the outage mode of the store client would notice a recovery
+/// later.
 constexpr unsigned NoOutageMode = 1'000'000;
 constexpr const char *MetricsPath = "/metrics";
 constexpr unsigned StatusOk = 200;
@@ -50,7 +51,7 @@
     store.m_writesPerSecond = StoreWritesPerSecond;
     store.m_outageAfter = NoOutageMode;
     store.m_retry = false;
-    store.m_silence = { silenceBound(settings.m_bounds), true };
+    store.m_silence = { silenceTimeout(settings.m_bounds), true };
     store.m_replaceAfter = StoreReplaceAfter;
     return store;
 }
@@ -63,7 +64,8 @@
     server.m_headerTimeout = limits.m_headerTimeout;
     server.m_idleTimeout = limits.m_idleTimeout;
     server.m_connections = settings.m_connections;
-    // Clients are far, and nothing waits for a new connection of theirs: two probes may be lost.
+    // Clients are far away, and no request waits for a new connection of theirs, so two probes may
+    // be lost.
     server.m_silence = { settings.m_bounds.m_contact, true };
     return server;
 }
@@ -88,15 +90,15 @@
         std::make_unique<StoreFollower>(m_control, *m_store, adapter.m_source, followerHooks());
     m_fleet = std::make_unique<FleetLink>(m_control, settings, m_node->m_origin, *m_store,
                                           adapter.m_source, fleetHooks());
-    m_record = std::make_unique<CondemnedRecord>(
+    m_quarantineRecord = std::make_unique<QuarantineRecord>(
         m_control, *m_store, adapter.m_source,
-        [this](const std::vector<SuspectNews> &condemned) { takeCondemned(condemned); });
+        [this](const std::vector<SuspectNews> &quarantined) { addQuarantined(quarantined); });
     m_store->onRise([this] { noteEra(m_store->era()); });
-    m_node->m_condemned = [this](const std::vector<SuspectNews> &condemned, bool seen) {
-        m_control.post([this, condemned, seen] {
-            m_condemned = condemned;
+    m_node->m_quarantined = [this](const std::vector<SuspectNews> &quarantined, bool seen) {
+        m_control.post([this, quarantined, seen] {
+            m_quarantined = quarantined;
             if (seen)
-                m_record->keep(condemned);
+                m_quarantineRecord->save(quarantined);
         });
     };
     RelayView view;
@@ -106,7 +108,7 @@
 
 RelayDaemon::~RelayDaemon()
 {
-    m_node->m_ending = true;
+    m_node->m_stopping = true;
     m_traffic.stop();
     m_control.stop();
     m_traffic.join();
@@ -129,7 +131,7 @@
         m_traffic, [this](HttpExchange &exchange) { RelayRun(*m_node, exchange).run(); },
         serverLimits({}, m_settings));
     m_ready = std::make_unique<HttpServer>(
-        m_traffic, [this](HttpExchange &exchange) { answerReady(exchange); });
+        m_traffic, [this](HttpExchange &exchange) { handleReadyRequest(exchange); });
     const auto clients = m_clients->listen(m_settings.m_clients);
     if (!clients)
         return tl::unexpected(clients.error());
@@ -159,7 +161,7 @@
     return {};
 }
 
-void RelayDaemon::changeView(const std::function<void(RelayView &)> &change)
+void RelayDaemon::updateView(const std::function<void(RelayView &)> &change)
 {
     RelayView view = *m_node->m_view.load();
     const bool before = view.complete();
@@ -174,48 +176,48 @@
 FollowerHooks RelayDaemon::followerHooks()
 {
     FollowerHooks hooks;
-    hooks.m_routes = [this](const RouteTablePtr &routes, const std::string &spec) {
+    hooks.m_onRoutes = [this](const RouteTablePtr &routes, const std::string &spec) {
         packRoutes(spec);
-        changeView([&](RelayView &view) {
+        updateView([&](RelayView &view) {
             view.m_routes = routes;
             view.m_proof = proofFor(routes->m_version, m_proof);
-            renewPools(view);
+            rebuildPools(view);
         });
         m_clients->setLimits(serverLimits(routes->m_limits, m_settings));
-        tellNews();
+        announceChange();
     };
-    hooks.m_proof = [this](const FreshnessProof &proof) {
-        takeProof(proof);
-        tellNews();
+    hooks.m_onProof = [this](const FreshnessProof &proof) {
+        applyProof(proof);
+        announceChange();
     };
-    hooks.m_directory = [this](const EndpointDirectoryPtr &directory) {
+    hooks.m_onDirectory = [this](const EndpointDirectoryPtr &directory) {
         const EndpointDirectoryPtr before = m_node->m_view.load()->m_directory;
         if (before) {
             const auto restarted = restartedSince(*before, *directory);
             if (!restarted.empty())
-                m_traffic.post([this, restarted] { m_node->forgetProcesses(restarted); });
+                m_traffic.post([this, restarted] { m_node->forgetRestarted(restarted); });
         }
-        changeView([&](RelayView &view) {
+        updateView([&](RelayView &view) {
             view.m_directory = directory;
-            renewPools(view);
+            rebuildPools(view);
         });
-        tellNews();
+        announceChange();
     };
     hooks.m_bestProof = [this] { return m_proof; };
-    hooks.m_onDuty = [this] { return m_fleet->onDuty(); };
-    // The kernel counts no suspended time for a timer that is set: any new one lets all that are
-    // due by now fire, so that deadlines end what waits past them.
-    hooks.m_stoodStill = [this] {
+    hooks.m_watchesStore = [this] { return m_fleet->watchesStore(); };
+    // The kernel does not count suspended time for a timer that is already set. Setting a new one
+    // fires all timers that are due by now, so that expired deadlines take effect.
+    hooks.m_onSuspension = [this] {
         m_traffic.post([this] { std::ignore = sleepFor(m_traffic.context(), Duration::zero()); });
     };
     return hooks;
 }
 
-/// Peers without duty hear of the store only in this way.
-void RelayDaemon::tellNews()
+/// Peers that do not watch the store receive changes only in this way.
+void RelayDaemon::announceChange()
 {
-    if (m_fleet->onDuty())
-        m_fleet->beatNow();
+    if (m_fleet->watchesStore())
+        m_fleet->sendHeartbeatsNow();
 }
 
 void RelayDaemon::packRoutes(const std::string &spec)
@@ -228,7 +230,7 @@
     m_packedRoutes = packed.value_or("");
 }
 
-void RelayDaemon::takeProof(const FreshnessProof &proof)
+void RelayDaemon::applyProof(const FreshnessProof &proof)
 {
     const FreshnessProof joined = joinProofs(m_proof, proof);
     if (joined.m_version == m_proof.m_version && joined.m_provedAt == m_proof.m_provedAt)
@@ -239,16 +241,16 @@
     const RelayViewPtr view = m_node->m_view.load();
     if (!view->m_routes)
         return;
-    // Routes that are older than the proof keep the proof that they had.
+    // If the routes are older than the proof, they keep the proof that they had.
     const FreshnessProof holds = proofFor(view->m_routes->m_version, joined);
     if (holds.known())
-        changeView([&](RelayView &changed) { changed.m_proof = holds; });
+        updateView([&](RelayView &changed) { changed.m_proof = holds; });
 }
 
-BeliefSummary RelayDaemon::ownBeliefs() const
+StateSummary RelayDaemon::ownSummary() const
 {
     const RelayViewPtr view = m_node->m_view.load();
-    BeliefSummary own;
+    StateSummary own;
     own.m_routesVersion = view->m_routes ? view->m_routes->m_version : 0;
     own.m_proved = view->m_proof.known();
     own.m_proofAgeMs = own.m_proved ? ageMs(view->m_proof) : 0;
@@ -256,120 +258,123 @@
     own.m_era = m_era;
     if (view->m_directory) {
         own.m_directory = view->m_directory->m_position;
-        own.m_directorySure = view->m_directory->sure();
-        own.m_sure = view->m_directory->m_surePosition;
+        own.m_directoryConfirmed = view->m_directory->sure();
+        own.m_lastConfirmed = view->m_directory->m_surePosition;
     }
     own.m_reachesStore = m_follower->reachesStore();
     return own;
 }
 
-/// The store came back from a copy: what the system wrote there has to be written again, by those
-/// that hear it from the store or from a peer.
+/// A higher era means that the store was restored from a backup, so the objects written by this
+/// system have to be written again. The era comes from the store or from a peer.
 void RelayDaemon::noteEra(uint64_t era)
 {
     const uint64_t before = m_era;
     m_era = std::max(m_era, era);
     if (before == 0 || m_era == before)
         return;
-    m_fleet->writeAgain();
-    m_follower->noteReturn();
-    if (m_fleet->onDuty())
-        m_record->keep(m_condemned);
+    m_fleet->rewriteObject();
+    m_follower->noteStoreRestored();
+    if (m_fleet->watchesStore())
+        m_quarantineRecord->save(m_quarantined);
 }
 
-void RelayDaemon::takeCondemned(const std::vector<SuspectNews> &condemned)
+void RelayDaemon::addQuarantined(const std::vector<SuspectNews> &quarantined)
 {
-    if (!condemned.empty())
-        m_traffic.post([this, condemned] { m_node->m_suspects.join(condemned); });
+    if (!quarantined.empty())
+        m_traffic.post([this, quarantined] { m_node->m_suspects.merge(quarantined); });
 }
 
-Beliefs RelayDaemon::answerPeer(const AskBeliefs &question) const
+StateSnapshot RelayDaemon::answerStateRequest(const StateRequest &request) const
 {
     const RelayViewPtr view = m_node->m_view.load();
-    Beliefs beliefs;
-    beliefs.m_summary = ownBeliefs();
-    beliefs.m_condemned = m_condemned;
-    if (beliefs.m_summary.m_routesVersion > question.m_routesVersion)
-        beliefs.m_routesSpec = m_packedRoutes;
-    const bool later = beliefs.m_summary.m_directory > question.m_directory;
-    if (!view->m_directory || !(later || question.m_inDoubt))
-        return beliefs;
-    beliefs.m_hasEndpoints = true;
+    StateSnapshot state;
+    state.m_summary = ownSummary();
+    state.m_quarantined = m_quarantined;
+    if (state.m_summary.m_routesVersion > request.m_routesVersion)
+        state.m_routesSpec = m_packedRoutes;
+    const bool later = state.m_summary.m_directory > request.m_directory;
+    if (!view->m_directory || !(later || request.m_inDoubt))
+        return state;
+    state.m_hasEndpoints = true;
     for (const auto &[id, endpoint] : view->m_directory->m_endpoints)
-        beliefs.m_endpoints.push_back(endpoint);
+        state.m_endpoints.push_back(endpoint);
     const auto &doubtful = view->m_directory->m_doubtful;
-    beliefs.m_doubtful.assign(doubtful.begin(), doubtful.end());
+    state.m_doubtful.assign(doubtful.begin(), doubtful.end());
     const auto &unreadable = view->m_directory->m_unreadable;
-    beliefs.m_unreadable.assign(unreadable.begin(), unreadable.end());
-    beliefs.m_whole = view->m_directory->m_whole;
-    return beliefs;
+    state.m_unreadable.assign(unreadable.begin(), unreadable.end());
+    state.m_whole = view->m_directory->m_whole;
+    return state;
 }
 
 FleetHooks RelayDaemon::fleetHooks()
 {
     FleetHooks hooks;
-    hooks.m_own = [this] { return ownBeliefs(); };
-    hooks.m_answer = [this](const AskBeliefs &question) { return answerPeer(question); };
-    hooks.m_heard = [this](const Beliefs &beliefs, Duration callTime) {
-        takeBeliefs(beliefs, callTime);
+    hooks.m_ownSummary = [this] { return ownSummary(); };
+    hooks.m_answerRequest = [this](const StateRequest &request) {
+        return answerStateRequest(request);
     };
-    hooks.m_proof = [this](const FreshnessProof &proof) { takeProof(proof); };
+    hooks.m_onState = [this](const StateSnapshot &state, Duration callTime) {
+        applyPeerState(state, callTime);
+    };
+    hooks.m_onProof = [this](const FreshnessProof &proof) { applyProof(proof); };
     hooks.m_era = [this](uint64_t era) { noteEra(era); };
-    hooks.m_gone = [this](uint64_t origin) {
-        m_traffic.post([this, origin] { m_node->forget(origin); });
+    hooks.m_onProcessGone = [this](uint64_t origin) {
+        m_traffic.post([this, origin] { m_node->forgetProcess(origin); });
     };
-    hooks.m_peers = [this](const FleetView &fleet) {
-        changeView([&fleet](RelayView &view) {
+    hooks.m_onFleetChange = [this](const FleetView &fleet) {
+        updateView([&fleet](RelayView &view) {
             view.m_vms = fleet.m_vms;
             if (view.m_cell == fleet.m_cell)
                 return;
             view.m_cell = fleet.m_cell;
-            renewPools(view);
+            rebuildPools(view);
         });
-        if (fleet.m_onDuty)
-            m_record->load();
+        if (fleet.m_watchesStore)
+            m_quarantineRecord->load();
         m_traffic.post([this, fleet] {
             m_node->m_loads.setPeers(fleet.m_loads);
             m_node->m_loads.setContacts(fleet.m_contacts);
-            m_node->m_onDuty = fleet.m_onDuty;
+            m_node->m_watchesStore = fleet.m_watchesStore;
         });
     };
-    hooks.m_tellLoads = [this](const Address &loads) {
-        m_traffic.post([this, loads] { m_node->tellAll(loads); });
+    hooks.m_sendLoads = [this](const Address &loads) {
+        m_traffic.post([this, loads] { m_node->sendState(loads); });
     };
     return hooks;
 }
 
-void RelayDaemon::takeBeliefs(const Beliefs &beliefs, Duration callTime)
+void RelayDaemon::applyPeerState(const StateSnapshot &state, Duration callTime)
 {
-    // Before the routes, which make this VM ready, and whose proof this VM's own may not be.
-    takeCondemned(beliefs.m_condemned);
-    const BeliefSummary &summary = beliefs.m_summary;
+    // Before the routes, because they make this VM ready, and because their proof may be newer than
+    // this VM's own.
+    addQuarantined(state.m_quarantined);
+    const StateSummary &summary = state.m_summary;
     if (summary.m_proved)
-        takeProof(proofFromAge(summary.m_routesVersion, summary.m_proofEra,
-                               Millis(summary.m_proofAgeMs), callTime, Clock::now()));
-    if (!beliefs.m_routesSpec.empty()) {
-        const auto spec = unpackText(beliefs.m_routesSpec);
+        applyProof(proofFromAge(summary.m_routesVersion, summary.m_proofEra,
+                                Millis(summary.m_proofAgeMs), callTime, Clock::now()));
+    if (!state.m_routesSpec.empty()) {
+        const auto spec = unpackText(state.m_routesSpec);
         if (spec)
-            m_follower->offerRoutes(*spec);
+            m_follower->mergePeerRoutes(*spec);
         else
             DecisionLine("peers", "routes of a peer not understood")
                 .text("error", spec.error().m_message)
                 .write();
     }
-    if (!beliefs.m_hasEndpoints)
+    if (!state.m_hasEndpoints)
         return;
     EndpointDirectory directory;
     directory.m_position = summary.m_directory;
-    directory.m_whole = beliefs.m_whole;
-    directory.m_doubtful.insert(beliefs.m_doubtful.begin(), beliefs.m_doubtful.end());
-    directory.m_unreadable.insert(beliefs.m_unreadable.begin(), beliefs.m_unreadable.end());
-    for (const EndpointRecord &endpoint : beliefs.m_endpoints)
+    directory.m_whole = state.m_whole;
+    directory.m_doubtful.insert(state.m_doubtful.begin(), state.m_doubtful.end());
+    directory.m_unreadable.insert(state.m_unreadable.begin(), state.m_unreadable.end());
+    for (const EndpointRecord &endpoint : state.m_endpoints)
         directory.m_endpoints[endpoint.m_id] = endpoint;
-    m_follower->offerDirectory(directory);
+    m_follower->mergePeerDirectory(directory);
 }
 
-void RelayDaemon::answerReady(HttpExchange &exchange)
+void RelayDaemon::handleReadyRequest(HttpExchange &exchange)
 {
     if (exchange.request().path() == MetricsPath) {
         exchange.respond(
@@ -384,7 +389,7 @@
 void RelayDaemon::reload(const RelaySettings &settings)
 {
     m_control.post([this, bounds = settings.m_bounds] {
-        changeView([&bounds](RelayView &view) { view.m_bounds = bounds; });
+        updateView([&bounds](RelayView &view) { view.m_bounds = bounds; });
     });
 }
 
@@ -396,39 +401,40 @@
 
 void RelayDaemon::drainFiber(TimePoint begun)
 {
-    const DrainPlan plan{ begun, BalancerNotice, DrainLinger,
+    const DrainPlan plan{ begun, BalancerDetectionTime, DrainLinger,
                           m_node->m_view.load()->m_bounds.m_grace - GraceReserve };
-    changeView([&plan](RelayView &view) { view.m_drain = plan; });
+    updateView([&plan](RelayView &view) { view.m_drain = plan; });
     DecisionLine("main", "draining")
         .number("requests", int64_t(m_clients->activeRequests()))
         .write();
     m_clients->closeAfterAnswers();
-    m_fleet->leave();
+    m_fleet->announceDrain();
     while (!endsNow(plan, Clock::now(), m_clients->activeRequests())
            && sleepFor(m_control.context(), DrainPoll)) { }
     m_fleet->removeObject();
     const TimePoint now = Clock::now();
     const TimePoint goneBy =
-        std::clamp(plan.m_begunAt + plan.m_grace, now + EndingTime, now + MostRemoval);
-    endRequests();
-    m_fleet->goodbye(goneBy);
+        std::clamp(plan.m_begunAt + plan.m_grace, now + ShutdownTime, now + MaxRemovalTime);
+    abortRequests();
+    m_fleet->announceExit(goneBy);
     DecisionLine("main", "drained")
         .number("requests", int64_t(m_clients->activeRequests()))
         .write();
     m_drained.set_value();
 }
 
-/// Gives up what is still in progress, so that each client hears how it ended before the threads
-/// end: their end breaks off all waits, which a request could not tell from a failed endpoint.
-void RelayDaemon::endRequests()
+/// Aborts the requests still in progress, so that each client receives the outcome before the
+/// threads stop: the stop interrupts all waits, which a request could not distinguish from an
+/// endpoint failure.
+void RelayDaemon::abortRequests()
 {
-    const TimePoint until = Clock::now() + EndingTime;
-    m_node->m_ending = true;
+    const TimePoint until = Clock::now() + ShutdownTime;
+    m_node->m_stopping = true;
     m_clients->drain();
     m_clients->refuseUnread();
     m_traffic.post([this] {
         for (RelayRun *run : m_node->m_runs)
-            run->giveUp();
+            run->abortForShutdown();
     });
     while (m_clients->connections() > 0 && Clock::now() < until
            && sleepFor(m_control.context(), DrainPoll)) { }
--- a/relay/relay_daemon.h
+++ b/relay/relay_daemon.h
@@ -1,5 +1,5 @@
 /// The daemon that relays declared routes on a platform: threads, servers and control state, from
-/// start to drained.
+/// the start to the end of the drain.
 #pragma once
 
 #include <future>
@@ -12,7 +12,7 @@
 
 namespace stackquay {
 
-/// How the daemon speaks with one kind of platform.
+/// Codecs for one kind of platform.
 struct RelayAdapter {
     const RelayDialect &m_requests;
     const KindDialect &m_objects;
@@ -22,17 +22,17 @@
 class RelayDaemon
 {
 public:
-    /// Binds every address, and starts all threads.
+    /// Binds all addresses and starts all threads. Returns an error if an address cannot be bound.
     static Result<std::unique_ptr<RelayDaemon>> start(const RelaySettings &settings,
                                                       const RelayAdapter &adapter);
     ~RelayDaemon();
 
-    /// Begins to drain: not ready, goes on accepting until the balancer has noticed, then finishes
-    /// what is in progress. Any thread; a second call changes nothing.
+    /// Starts to drain: reports not ready, accepts requests until the load balancer has noticed,
+    /// then finishes what is in progress. Any thread; idempotent.
     void drain();
-    /// Returns once drained.
+    /// Blocks until the daemon has drained.
     void wait();
-    /// Takes the bounds of other settings; addresses do not change while it runs. Any thread.
+    /// Applies the bounds of @p settings; the addresses stay as they are. Any thread.
     void reload(const RelaySettings &settings);
 
     Address clientsAddress() const { return m_clientsAddress; }
@@ -45,19 +45,19 @@
     Status listen();
     FollowerHooks followerHooks();
     FleetHooks fleetHooks();
-    BeliefSummary ownBeliefs() const;
-    Beliefs answerPeer(const AskBeliefs &question) const;
-    void tellNews();
+    StateSummary ownSummary() const;
+    StateSnapshot answerStateRequest(const StateRequest &request) const;
+    void announceChange();
     void packRoutes(const std::string &spec);
-    void takeBeliefs(const Beliefs &beliefs, Duration callTime);
-    void takeProof(const FreshnessProof &proof);
+    void applyPeerState(const StateSnapshot &state, Duration callTime);
+    void applyProof(const FreshnessProof &proof);
     void noteEra(uint64_t era);
-    void takeCondemned(const std::vector<SuspectNews> &condemned);
-    void changeView(const std::function<void(RelayView &)> &change);
-    void answerReady(HttpExchange &exchange);
-    /// @p begun is when the daemon was told to stop: the grace is counted from then.
+    void addQuarantined(const std::vector<SuspectNews> &quarantined);
+    void updateView(const std::function<void(RelayView &)> &change);
+    void handleReadyRequest(HttpExchange &exchange);
+    /// @p begun is the time of the stop signal, from which the grace period counts.
     void drainFiber(TimePoint begun);
-    void endRequests();
+    void abortRequests();
 
     const RelaySettings m_settings;
     const RelayAdapter m_adapter;
@@ -69,13 +69,15 @@
     std::unique_ptr<KindStore> m_store;
     std::unique_ptr<StoreFollower> m_follower;
     std::unique_ptr<FleetLink> m_fleet;
-    std::unique_ptr<CondemnedRecord> m_record;
+    std::unique_ptr<QuarantineRecord> m_quarantineRecord;
     Address m_clientsAddress;
     Address m_readyAddress;
-    std::vector<SuspectNews> m_condemned; ///< As the traffic thread last said. Control thread.
-    uint64_t m_era = 0; ///< The highest heard of. Control thread.
-    std::string m_packedRoutes; ///< As in the store, packed for peers. Control thread.
-    FreshnessProof m_proof; ///< The best known, also of a version not yet here. Control thread.
+    std::vector<SuspectNews> m_quarantined; ///< Last report of the traffic thread. Control thread.
+    uint64_t m_era = 0; ///< The highest known store era. Control thread.
+    std::string m_packedRoutes; ///< The routes as stored, compressed for peers. Control thread.
+    /// The latest known proof, possibly for a routes version that this VM does not have yet.
+    /// Control thread.
+    FreshnessProof m_proof;
     std::atomic<bool> m_drainBegun{ false };
     std::promise<void> m_drained;
 };
--- a/relay/relay_metrics.cpp
+++ b/relay/relay_metrics.cpp
@@ -18,16 +18,18 @@
                                         "Attempts that the retry budget did not allow."))
     , m_ejections(registry.counter("stackquay_relay_ejections_total",
                                    "Times an endpoint was left out for its failures."))
-    , m_tickets(registry.counter("stackquay_relay_reservations_total",
-                                 "Reservations of memory that engines granted."))
-    , m_ticketsRefused(registry.counter("stackquay_relay_reservations_refused_total",
-                                        "Reservations that engines did not grant in time."))
-    , m_ends(registry.counter("stackquay_relay_attempts_ended_with_process_total",
-                              "Attempts that broke off because the endpoint's process ended."))
-    , m_condemned(registry.counter("stackquay_relay_condemned_total",
-                                   "Requests that were found to end the endpoints that run them."))
-    , m_barred(registry.counter("stackquay_relay_barred_total",
-                                "Requests not sent because endpoints had ended under them."))
+    , m_reservations(registry.counter("stackquay_relay_reservations_total",
+                                      "Reservations of memory that engines granted."))
+    , m_reservationsRefused(registry.counter("stackquay_relay_reservations_refused_total",
+                                             "Reservations that engines did not grant in time."))
+    , m_processExits(
+          registry.counter("stackquay_relay_attempts_ended_with_process_total",
+                           "Attempts that broke off because the endpoint's process ended."))
+    , m_quarantined(
+          registry.counter("stackquay_relay_condemned_total",
+                           "Requests that were found to end the endpoints that run them."))
+    , m_blocked(registry.counter("stackquay_relay_barred_total",
+                                 "Requests not sent because endpoints had ended under them."))
     , m_registry(registry)
 {
     for (size_t kind = 0; kind < KindCount; ++kind) {
@@ -46,7 +48,7 @@
     m_outcomes.at(static_cast<size_t>(kind)).at(static_cast<size_t>(outcome))->add();
 }
 
-void RelayMetrics::recordFirst(const Route &route, Duration time)
+void RelayMetrics::recordFirstEventTime(const Route &route, Duration time)
 {
     m_registry
         .histogram("stackquay_relay_first_seconds",
--- a/relay/relay_metrics.h
+++ b/relay/relay_metrics.h
@@ -8,14 +8,14 @@
 
 namespace stackquay {
 
-/// How a relayed request ended for its client.
+/// How a relayed request ended, as seen by its client.
 enum class RelayOutcome {
-    Complete, ///< The endpoint's whole answer, whatever its status.
+    Complete, ///< The endpoint's whole response, whatever its status.
     Refused, ///< Not run, and never will be.
     Failed, ///< May have run.
     Denied, ///< No such route, or no valid key.
-    Cut, ///< A stream that broke off after its first event.
-    Abandoned, ///< The client left.
+    Cut, ///< The stream broke off after its first event.
+    Abandoned, ///< The client disconnected.
     Count, ///< Number of outcomes; not an outcome.
 };
 
@@ -27,17 +27,17 @@
     explicit RelayMetrics(MetricsRegistry &registry);
 
     void countOutcome(RouteKind kind, RelayOutcome outcome);
-    void recordFirst(const Route &route, Duration time);
+    void recordFirstEventTime(const Route &route, Duration time);
 
     Counter &m_attempts;
     Counter &m_repeats;
     Counter &m_repeatsRefused;
     Counter &m_ejections;
-    Counter &m_tickets;
-    Counter &m_ticketsRefused;
-    Counter &m_ends;
-    Counter &m_condemned;
-    Counter &m_barred;
+    Counter &m_reservations;
+    Counter &m_reservationsRefused;
+    Counter &m_processExits;
+    Counter &m_quarantined;
+    Counter &m_blocked;
 
 private:
     static constexpr size_t KindCount = 3;
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Idle connections kept to one endpoint.
+/// Idle connections kept per endpoint.
 constexpr size_t IdleConnections = 8;
-/// A VM that began so short ago has not heard of all that the others have in flight: streams last
-/// longer than this.
-constexpr Millis BlindTime{ 1'500 };
-/// VMs may be added: the slack is divided by this many times those known.
+/// A VM that started within this time has not yet received all that the other VMs have in flight,
+/// because streams last longer.
+constexpr Millis LoadLearningTime{ 1'500 };
+/// Leaves room for new VMs: the slack is divided by the known number of VMs times this.
 constexpr double SharerMargin = 1.5;
 
 uint32_t millisOf(Duration duration)
@@ -49,9 +49,9 @@
     , m_thread(thread)
     , m_random(std::random_device{}())
     , m_origin(m_random())
-    // Not probed: a request that waits at an endpoint has its own bounds, and may outlast a pause
-    // of the endpoint's machine.
-    , m_pool(thread.context(), IdleConnections, { silenceBound(m_settings.m_bounds), false })
+    // Without probes: a request that waits at an endpoint has its own timeouts, and may outlast a
+    // pause of the endpoint's machine.
+    , m_pool(thread.context(), IdleConnections, { silenceTimeout(m_settings.m_bounds), false })
     , m_loads(thread, [this](const LoadMessage &message) { receive(message); })
     , m_suspects(thread, suspectHooks())
 {
@@ -62,15 +62,15 @@
 {
     SuspectHooks hooks;
     hooks.m_cell = [this] { return m_view.load()->m_cell; };
-    hooks.m_onDuty = [this] { return m_onDuty; };
-    hooks.m_tellCell = [this](const LoadMessage &message) { m_loads.send(message); };
-    hooks.m_tellOtherCells = [this](const LoadMessage &message) {
+    hooks.m_watchesStore = [this] { return m_watchesStore; };
+    hooks.m_sendToCell = [this](const LoadMessage &message) { m_loads.send(message); };
+    hooks.m_sendToOtherCells = [this](const LoadMessage &message) {
         m_loads.sendToContacts(message);
     };
-    hooks.m_condemned = [this](const std::vector<SuspectNews> &condemned, bool seen) {
-        m_metrics.m_condemned.add();
-        if (m_condemned)
-            m_condemned(condemned, seen);
+    hooks.m_quarantined = [this](const std::vector<SuspectNews> &quarantined, bool seen) {
+        m_metrics.m_quarantined.add();
+        if (m_quarantined)
+            m_quarantined(quarantined, seen);
     };
     return hooks;
 }
@@ -84,8 +84,8 @@
     message.m_expiresMs = millisOf(load.m_expiresAt - now);
     message.m_ageMs = millisOf(now - load.m_placedAt);
     message.m_writing = load.m_writing;
-    if (const auto suspect = m_suspects.tried(key))
-        message.m_prints = { *suspect };
+    if (const auto suspect = m_suspects.suspectOf(key))
+        message.m_fingerprints = { *suspect };
     return message;
 }
 
@@ -94,12 +94,12 @@
     return isStrictGap(gapLimitMs) ? m_strictQueue : m_longQueue;
 }
 
-bool RelayNode::leaveQueues(const LoadKey &key)
+bool RelayNode::removeFromQueues(const LoadKey &key)
 {
     return m_strictQueue.erase(key) + m_longQueue.erase(key) > 0;
 }
 
-void RelayNode::wait(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn)
+void RelayNode::announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn)
 {
     m_loads.send(waitingMessage(key, gapLimitMs, turn, Clock::now()));
     queueOf(gapLimitMs)[key] = turn;
@@ -113,7 +113,7 @@
     if (suspect)
         m_suspects.beginTry(*suspect, key, lifetime, true);
     m_loads.send(placedMessage(key, load, now));
-    leaveQueues(key);
+    removeFromQueues(key);
     m_ledger.place(key, std::move(load));
 }
 
@@ -127,7 +127,7 @@
 {
     m_suspects.endTry(key);
     const bool placed = m_ledger.end(key);
-    const bool waited = leaveQueues(key);
+    const bool waited = removeFromQueues(key);
     if (placed || waited)
         m_loads.send(LoadMessage{ LoadChange::Ended, key });
 }
@@ -141,11 +141,11 @@
     if (m_readySince == TimePoint{})
         m_readySince = now;
     StrictDemand demand = strictDemandOf(costs, m_strictQueue, m_ledger, now);
-    demand.m_blind = now - m_readySince < BlindTime;
+    demand.m_blind = now - m_readySince < LoadLearningTime;
     return strictEngines(m_splits[service], pool, uses, demand, now);
 }
 
-void RelayNode::forget(uint64_t origin)
+void RelayNode::forgetProcess(uint64_t origin)
 {
     m_ledger.forgetOrigin(origin);
     for (TurnQueue *queue : { &m_strictQueue, &m_longQueue }) {
@@ -154,7 +154,7 @@
     }
 }
 
-void RelayNode::forgetProcesses(const std::vector<EndpointRecord> &restarted)
+void RelayNode::forgetRestarted(const std::vector<EndpointRecord> &restarted)
 {
     for (const EndpointRecord &endpoint : restarted) {
         m_ledger.forgetEndpoint(endpoint.m_id);
@@ -169,7 +169,7 @@
     }
 }
 
-bool RelayNode::isPresent(const EndpointRecord &endpoint) const
+bool RelayNode::isCurrentProcess(const EndpointRecord &endpoint) const
 {
     const RelayViewPtr view = m_view.load();
     if (!view->m_directory)
@@ -184,7 +184,7 @@
         if (key.m_origin == m_origin && load.m_expiresAt > now)
             messages.push_back(placedMessage(key, load, now));
     }
-    // If there are too many, those that last longest are known.
+    // If there are too many for one peer, the longest-lived ones are sent.
     std::sort(messages.begin(), messages.end(),
               [](const LoadMessage &left, const LoadMessage &right) {
                   return left.m_expiresMs > right.m_expiresMs;
@@ -206,23 +206,23 @@
     return messages;
 }
 
-void RelayNode::tellAll(const Address &peer)
+void RelayNode::sendState(const Address &peer)
 {
     const TimePoint now = Clock::now();
     std::vector<LoadMessage> messages = ownLoads(now);
     const std::vector<LoadMessage> turns = ownTurns(now);
     messages.insert(messages.end(), turns.begin(), turns.end());
     if (!messages.empty())
-        m_loads.tell(peer, messages);
-    const std::vector<LoadMessage> suspects = m_suspects.all();
+        m_loads.sendAll(peer, messages);
+    const std::vector<LoadMessage> suspects = m_suspects.allSuspects();
     if (!suspects.empty())
-        m_loads.tell(peer, suspects);
+        m_loads.sendAll(peer, suspects);
 }
 
 void RelayNode::noteFailure(const EndpointId &endpoint, FailureWeight weight, std::string_view why)
 {
-    // The end of this process breaks off waits; that says nothing of an endpoint.
-    if (m_ending || !recordFailure(m_ejections, endpoint, weight, Clock::now()))
+    // Interrupted waits during the shutdown of this process are no failures of endpoints.
+    if (m_stopping || !recordFailure(m_ejections, endpoint, weight, Clock::now()))
         return;
     if (weight == FailureWeight::Telling) {
         LoadMessage message{ LoadChange::Ejected, nextKey() };
@@ -233,25 +233,25 @@
     noteEjection(m_metrics, endpoint, why);
 }
 
-void RelayNode::noteBrokenOff(const EndpointId &endpoint)
+void RelayNode::reportBrokenResponse(const EndpointId &endpoint)
 {
     LoadMessage message{ LoadChange::BrokenOff, nextKey() };
     message.m_parts = { { endpoint, 0, 0 } };
     m_loads.send(message);
-    countBrokenOff(endpoint, m_origin);
+    recordBrokenResponse(endpoint, m_origin);
 }
 
-void RelayNode::countBrokenOff(const EndpointId &endpoint, uint64_t vm)
+void RelayNode::recordBrokenResponse(const EndpointId &endpoint, uint64_t vm)
 {
     size_t endpoints = 0;
     for (const auto &[service, pool] : m_view.load()->m_pools)
         endpoints += pool.size();
-    if (m_ending || !recordSharedFailure(m_ejections, endpoint, endpoints, vm, Clock::now()))
+    if (m_stopping || !recordSharedFailure(m_ejections, endpoint, endpoints, vm, Clock::now()))
         return;
     noteEjection(m_metrics, endpoint, "it broke off answers to several VMs");
 }
 
-void RelayNode::noteAnswered(const LoadKey &key)
+void RelayNode::recordResponse(const LoadKey &key)
 {
     const auto load = m_ledger.loads().find(key);
     if (load != m_ledger.loads().end() && !load->second.m_parts.empty())
@@ -291,29 +291,30 @@
                                                          Millis(message.m_leadMs) };
         return;
     case LoadChange::Ejected:
-        // Others may reach it: only a neighbour's failure tells of this VM's way there.
+        // Only a failure seen from the same data centre shows that this VM cannot reach the
+        // endpoint either.
         if (message.m_dataCentre == m_settings.m_dataCentre && !message.m_parts.empty())
             recordFailure(m_ejections, message.m_parts.front().m_endpoint, FailureWeight::Telling,
                           now);
         return;
     case LoadChange::Placed:
-        leaveQueues(message.m_key);
+        removeFromQueues(message.m_key);
         m_ledger.place(message.m_key,
                        { message.m_parts, message.m_gapLimitMs, message.m_writing,
                          now - Millis(message.m_ageMs), now + Millis(message.m_expiresMs) });
-        for (const Fingerprint &suspect : message.m_prints)
+        for (const Fingerprint &suspect : message.m_fingerprints)
             m_suspects.beginTry(suspect, message.m_key, Millis(message.m_expiresMs), false);
         return;
     case LoadChange::BrokenOff:
         if (!message.m_parts.empty())
-            countBrokenOff(message.m_parts.front().m_endpoint, message.m_key.m_origin);
+            recordBrokenResponse(message.m_parts.front().m_endpoint, message.m_key.m_origin);
         return;
     case LoadChange::FirstEvent:
-        noteAnswered(message.m_key);
+        recordResponse(message.m_key);
         m_ledger.startWriting(message.m_key);
         return;
     case LoadChange::Ended:
-        leaveQueues(message.m_key);
+        removeFromQueues(message.m_key);
         m_ledger.end(message.m_key);
         m_suspects.endTry(message.m_key);
         return;
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -1,4 +1,4 @@
-/// Part of RelayRun: when a request may begin, and which endpoints take it.
+/// Part of RelayRun: when a request may begin, and on which endpoints it is placed.
 #include <algorithm>
 
 #include "relay/relay_run.h"
@@ -7,33 +7,34 @@
 
 namespace {
 
-/// Between looks whether a request may begin: a tenth of a long prompt's usual part.
+/// Period of the checks whether a request may begin: a tenth of the usual prefill part of a long
+/// prompt.
 constexpr Millis TurnPoll{ 12 };
 
-/// A draining VM takes a request only if so many times the time expected is left: answers vary in
-/// length, and engines pause for other prompts.
+/// A draining VM accepts a request only if this multiple of its expected time is left: responses
+/// vary in length, and engines pause streams for the prefill of other prompts.
 constexpr double ExpectedSlack = 2;
 
 } // namespace
 
 std::vector<EndpointRecord> RelayRun::candidates() const
 {
-    // The newest list: endpoints may have left since the request arrived.
+    // The current view: endpoints may have left since the request arrived.
     const RelayViewPtr view = m_node.m_view.load();
     const auto *pool = poolOf(*view, m_serviceId);
     if (!pool)
         return {};
     std::vector<EndpointRecord> untried;
     for (const EndpointRecord &endpoint : *pool) {
-        if (m_tried.count(endpoint.m_id) == 0)
+        if (m_triedEndpoints.count(endpoint.m_id) == 0)
             untried.push_back(endpoint);
     }
     return healthyOf(m_node.m_ejections, std::move(untried), Clock::now());
 }
 
-RelayRun::PoolNow RelayRun::poolNow() const
+RelayRun::PoolState RelayRun::poolState() const
 {
-    PoolNow seen{ m_node.m_ledger.uses(Clock::now()), {} };
+    PoolState seen{ m_node.m_ledger.uses(Clock::now()), {} };
     const RelayViewPtr view = m_node.m_view.load();
     const auto *pool = poolOf(*view, m_serviceId);
     if (pool && isModelRequest())
@@ -42,19 +43,19 @@
     return seen;
 }
 
-std::optional<GangPlan> RelayRun::choose(StreamCare care, const PoolNow &seen)
+std::optional<GangPlan> RelayRun::choosePlan(StreamCare care, const PoolState &seen)
 {
     const std::vector<EndpointRecord> pool = candidates();
-    const auto places = m_node.m_suspects.placesFor(m_care, pool, m_node.m_ledger);
-    auto plan = planOn(places, care, seen);
-    // Beside other suspects rather than not at all: most of them did nothing.
+    const auto places = m_node.m_suspects.eligibleEndpoints(m_care, pool, m_node.m_ledger);
+    auto plan = planWithin(places, care, seen);
+    // Prefers an endpoint with other suspects to none: most suspects are harmless.
     if (!plan && m_care == SuspectCare::Apart && places.size() < pool.size())
-        plan = planOn(pool, care, seen);
+        plan = planWithin(pool, care, seen);
     return plan;
 }
 
-std::optional<GangPlan> RelayRun::planOn(const std::vector<EndpointRecord> &pool, StreamCare care,
-                                         const PoolNow &seen)
+std::optional<GangPlan> RelayRun::planWithin(const std::vector<EndpointRecord> &pool,
+                                             StreamCare care, const PoolState &seen)
 {
     const DataCentreId &here = m_node.m_settings.m_dataCentre;
     if (!isModelRequest()) {
@@ -88,11 +89,11 @@
     request.m_patience = clientPatience();
     request.m_arrival = m_arrival;
     request.m_deadline = m_deadline;
-    request.m_repeat = m_arrivals > 0;
+    request.m_repeat = m_sentAttempts > 0;
     return request;
 }
 
-SideLoad RelayRun::sideLoad(const PoolNow &seen) const
+SideLoad RelayRun::sideLoad(const PoolState &seen) const
 {
     const RelayViewPtr view = m_node.m_view.load();
     const auto *pool = poolOf(*view, m_serviceId);
@@ -111,7 +112,7 @@
     return pool ? pool->size() : 0;
 }
 
-Duration RelayRun::timeToEnd(double slack) const
+Duration RelayRun::timeToComplete(double slack) const
 {
     if (!isModelRequest())
         return std::chrono::duration_cast<Duration>(m_route->m_aim * slack);
@@ -119,7 +120,7 @@
     const auto usual = static_cast<double>(costs.m_usualAnswerTokens);
     const auto limit = static_cast<double>(m_head.m_answerTokens);
     const FloatMillis needed = neededToBegin(m_node.m_turns, costs, modelRequest(), poolSize());
-    // With slack it may write all that it may; without, what such answers usually are.
+    // With slack, the request's token limit; without, the usual length.
     double answer = usual * slack;
     if (limit > 0)
         answer = slack > 1 ? limit : std::min(usual, limit);
@@ -129,64 +130,64 @@
 RequestTime RelayRun::timeNeeded() const
 {
     const Duration most = m_deadline - m_arrival;
-    return { std::min(timeToEnd(ExpectedSlack), most), most };
+    return { std::min(timeToComplete(ExpectedSlack), most), most };
 }
 
-bool RelayRun::betterElsewhere() const
+bool RelayRun::cannotFinishInDrain() const
 {
-    // What may have run is tried here to the end: only this VM can still answer it.
+    // A request that may have run is finished here: only this VM can still answer it.
     if (m_mayHaveRun > 0 || m_streaming)
         return false;
     const RelayViewPtr view = m_node.m_view.load();
     if (!isDraining(view->m_drain))
         return false;
     constexpr double NoSlack = 1;
-    return !canEnd(view->m_drain, Clock::now(), std::min(timeToEnd(NoSlack), left()));
+    return !canEnd(view->m_drain, Clock::now(), std::min(timeToComplete(NoSlack), remainingTime()));
 }
 
-TurnLook RelayRun::look(const WaitingTurn &turn, TurnObstacle before)
+TurnLook RelayRun::checkTurn(const WaitingTurn &turn, TurnObstacle before)
 {
     const ModelRequest request = modelRequest();
     const TimePoint now = Clock::now();
     const EngineCosts &costs = *m_service->m_engine;
-    const PoolNow seen = poolNow();
+    const PoolState seen = poolState();
     const bool next = poolSize() == 0
                       || isNext(m_node.m_turns, costs, request, m_node.queueOf(gapLimitMs()),
-                                m_load, sideLoad(seen), now);
+                                m_loadKey, sideLoad(seen), now);
     return lookForTurn(
         m_node.m_turns, costs, request, turn, next, before,
-        [this, &seen](StreamCare care) { return choose(care, seen); }, now);
+        [this, &seen](StreamCare care) { return choosePlan(care, seen); }, now);
 }
 
 std::optional<GangPlan> RelayRun::awaitTurn()
 {
     if (!isModelRequest())
-        return choose(StreamCare::Spare, poolNow());
+        return choosePlan(StreamCare::Spare, poolState());
     const WaitingTurn turn =
         turnOf(m_node.m_turns, *m_service->m_engine, modelRequest(), poolSize());
-    m_node.queueOf(gapLimitMs())[m_load] = turn;
-    bool told = false;
+    m_node.queueOf(gapLimitMs())[m_loadKey] = turn;
+    bool announced = false;
     TurnObstacle obstacle = TurnObstacle::None;
     for (;;) {
-        // Known not to end in time, it is refused now: another VM may still serve it.
-        const bool hopeless = m_node.m_ending || betterElsewhere();
-        if (!hopeless) {
-            TurnLook now = look(turn, obstacle);
+        // Refused now if it cannot finish in time, so that another VM can still serve it.
+        const bool cannotFinish = m_node.m_stopping || cannotFinishInDrain();
+        if (!cannotFinish) {
+            TurnLook now = checkTurn(turn, obstacle);
             if (now.m_plan)
                 return std::move(now.m_plan);
             obstacle = now.m_obstacle;
             if (now.m_tooLate) {
-                m_why = turnObstacleName(obstacle);
+                m_failureReason = turnObstacleName(obstacle);
                 logTooLate(turn);
                 return std::nullopt;
             }
         }
-        if (!told)
-            m_node.wait(m_load, gapLimitMs(), turn);
-        told = true;
-        if (hopeless || !sleepFor(m_node.m_thread.context(), TurnPoll) || m_hungUp
-            || left() <= TurnPoll) {
-            m_why = "waited for its turn";
+        if (!announced)
+            m_node.announceWaiting(m_loadKey, gapLimitMs(), turn);
+        announced = true;
+        if (cannotFinish || !sleepFor(m_node.m_thread.context(), TurnPoll) || m_clientLeft
+            || remainingTime() <= TurnPoll) {
+            m_failureReason = "waited for its turn";
             return std::nullopt;
         }
     }
@@ -195,15 +196,15 @@
 void RelayRun::logTooLate(const WaitingTurn &turn) const
 {
     const TimePoint now = Clock::now();
-    const SideLoad load = sideLoad(poolNow());
+    const SideLoad load = sideLoad(poolState());
     const TurnQueue &queue = m_node.queueOf(gapLimitMs());
     DecisionLine("relay", "too late to begin")
         .text("request", m_head.m_id.str())
-        .text("why", m_why)
+        .text("why", m_failureReason)
         .number("tokens", static_cast<int64_t>(m_head.m_promptTokens))
         .number("wait_ms", std::chrono::duration_cast<Millis>(now - m_arrival).count())
         .number("needed_ms", std::chrono::duration_cast<Millis>(turn.m_needed).count())
-        .number("ahead", aheadOf(queue, m_load, now))
+        .number("ahead", aheadOf(queue, m_loadKey, now))
         .number("waiting", static_cast<int64_t>(queue.size()))
         .number("room", roomOf(m_node.m_turns, load, isStrictGap(gapLimitMs())))
         .number("engines", static_cast<int64_t>(load.m_engines))
@@ -224,7 +225,7 @@
         .number("spoilt", plan.m_spoilt)
         .number("wait_ms", std::chrono::duration_cast<Millis>(Clock::now() - m_arrival).count())
         .number("in_flight", static_cast<int64_t>(m_node.m_ledger.size()))
-        .number("tried", static_cast<int64_t>(m_tried.size()))
+        .number("tried", static_cast<int64_t>(m_triedEndpoints.size()))
         .flag("suspect", m_care != SuspectCare::None)
         .write();
 }
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -14,24 +14,25 @@
 constexpr unsigned StatusUnavailable = 503;
 constexpr unsigned StatusGatewayTimeout = 504;
 
-/// A proof travels for one beat, and a check takes its time: so much earlier than the bound.
+/// Subtracted from the revocation time: a proof is up to one heartbeat old when it arrives, and the
+/// check takes time.
 constexpr Millis FreshnessMargin{ 700 };
-/// "No such route" and "no such key" are said only under a configuration proved this recently.
+/// Unknown routes and keys are denied only if the configuration was proved this recently.
 constexpr Millis DenialFreshness{ 2'500 };
 
-/// Attempts that one request makes at most, sent or not.
-constexpr uint32_t MostPlacements = 6;
+/// Limit of placements for one request, whether sent or not.
+constexpr uint32_t MaxPlacements = 6;
 
-/// Clients leave a stream after the longest of these silences (the users' pages).
-constexpr Millis LeastAbandon{ 2'000 };
-constexpr int AbandonAims = 4;
-constexpr int AbandonGaps = 8;
+/// Clients leave a stream after the longest of these silences.
+constexpr Millis MinClientPatience{ 2'000 };
+constexpr int PatienceAims = 4;
+constexpr int PatienceGaps = 8;
 
-/// When to come back: a place in a queue frees within some passes, a start takes a second.
-constexpr Millis RetryBusy{ 250 };
-constexpr Millis RetryStarting{ 500 };
-/// Another VM serves now; zero would read as no answer to the question.
-constexpr Millis RetryElsewhere{ 10 };
+/// Retry-After values: a queue slot frees within some engine steps, a start takes a second.
+constexpr Millis RetryAfterBusy{ 250 };
+constexpr Millis RetryAfterStart{ 500 };
+/// Other VMs can serve the request now; zero would mean that there is no Retry-After.
+constexpr Millis RetryAfterDrain{ 10 };
 
 std::string_view hostOf(const HttpRequest &request)
 {
@@ -66,7 +67,7 @@
     if (!admit())
         return;
     m_exchange.onHangup([this] {
-        m_hungUp = true;
+        m_clientLeft = true;
         if (m_connection)
             m_connection->cancel();
     });
@@ -76,7 +77,7 @@
 bool RelayRun::admit()
 {
     if (!m_view->complete()) {
-        refuse(StatusUnavailable, "no configuration yet", RetryStarting);
+        refuse(StatusUnavailable, "no configuration yet", RetryAfterStart);
         return false;
     }
     const RouteTable &routes = *m_view->m_routes;
@@ -87,7 +88,7 @@
             refuse(StatusNotFound, "no such route", {});
         else
             refuse(StatusUnavailable, "no such route in a configuration of some age",
-                   RetryStarting);
+                   RetryAfterStart);
         return false;
     }
     if (!admitKey(fresh))
@@ -98,23 +99,23 @@
     m_service = service == routes.m_services.end() ? nullptr : &service->second;
     m_deadline =
         m_arrival + std::min(m_head.m_deadline.value_or(m_route->m_timeout), m_route->m_timeout);
-    if (!admitDrain())
+    if (!admitWhileDraining())
         return false;
     if (!maySend()) {
-        refuse(StatusUnavailable, m_why, *m_barredFor);
+        refuse(StatusUnavailable, m_failureReason, *m_quarantineRetryAfter);
         return false;
     }
     countArrival(m_node.m_retries, m_serviceId, m_arrival);
     return true;
 }
 
-bool RelayRun::admitDrain()
+bool RelayRun::admitWhileDraining()
 {
     const RelayViewPtr view = m_node.m_view.load();
-    if (!m_node.m_ending
+    if (!m_node.m_stopping
         && (!isDraining(view->m_drain) || mayTake(view->m_drain, m_arrival, timeNeeded())))
         return true;
-    refuse(StatusUnavailable, "this VM is stopping", RetryElsewhere);
+    refuse(StatusUnavailable, "this VM is stopping", RetryAfterDrain);
     return false;
 }
 
@@ -124,22 +125,22 @@
         m_care = SuspectCare::None;
         return true;
     }
-    const SuspectVerdict verdict = m_node.m_suspects.judge(print(), m_load);
+    const SuspectVerdict verdict = m_node.m_suspects.judge(fingerprint(), m_loadKey);
     m_care = verdict.m_care;
     if (verdict.mayTry())
         return true;
-    m_barredFor = std::chrono::duration_cast<Millis>(verdict.m_comeBack);
-    m_why = verdict.m_care == SuspectCare::Condemned
-                ? "the processes of endpoints ended under it"
-                : "endpoints ended under it, and it is being tried elsewhere";
-    m_node.m_metrics.m_barred.add();
+    m_quarantineRetryAfter = std::chrono::duration_cast<Millis>(verdict.m_comeBack);
+    m_failureReason = verdict.m_care == SuspectCare::Condemned
+                          ? "the processes of endpoints ended under it"
+                          : "endpoints ended under it, and it is being tried elsewhere";
+    m_node.m_metrics.m_blocked.add();
     return false;
 }
 
 bool RelayRun::admitKey(bool fresh)
 {
-    constexpr uint32_t LeastUrgent = 9;
-    m_urgency = std::min(m_route->m_priority, LeastUrgent);
+    constexpr uint32_t LowestUrgency = 9;
+    m_urgency = std::min(m_route->m_priority, LowestUrgency);
     const RouteTable &routes = *m_view->m_routes;
     if (m_route->m_public || !routes.m_hasCustomers)
         return true;
@@ -147,7 +148,7 @@
     const Duration bound = bounds.m_revoke - FreshnessMargin;
     if (bounds.m_strictKeys && !freshEnough(m_view->m_proof, routes.m_version, bound, m_arrival)) {
         refuse(StatusUnavailable, "keys cannot be checked: the configuration may be old",
-               RetryStarting);
+               RetryAfterStart);
         return false;
     }
     const auto holder = routes.m_keys.find(m_head.m_key);
@@ -155,15 +156,16 @@
         if (fresh)
             refuse(StatusUnauthorized, "no such key", {});
         else
-            refuse(StatusUnavailable, "no such key in a configuration of some age", RetryStarting);
+            refuse(StatusUnavailable, "no such key in a configuration of some age",
+                   RetryAfterStart);
         return false;
     }
     m_customer = holder->second.m_customer;
-    m_urgency = std::min(holder->second.m_priority.value_or(m_urgency), LeastUrgent);
+    m_urgency = std::min(holder->second.m_priority.value_or(m_urgency), LowestUrgency);
     return true;
 }
 
-const Fingerprint &RelayRun::print()
+const Fingerprint &RelayRun::fingerprint()
 {
     const HttpRequest &request = m_exchange.request();
     if (!m_print)
@@ -181,7 +183,7 @@
         outlineOf({ request.m_method, request.m_target, m_customer.str() }, request.m_body.size()));
 }
 
-Duration RelayRun::left() const
+Duration RelayRun::remainingTime() const
 {
     return m_deadline - Clock::now();
 }
@@ -190,20 +192,20 @@
 {
     while (mayAttempt()) {
         ++m_placements;
-        m_load = m_node.nextKey();
+        m_loadKey = m_node.nextKey();
         const auto plan = awaitTurn();
         if (!plan)
-            m_node.end(m_load);
+            m_node.end(m_loadKey);
         if (!plan && isModelRequest())
             break;
         if (!plan) {
-            m_why = "no endpoint can take it";
-            const bool waited = sleepFor(m_node.m_thread.context(), PlacementPause);
+            m_failureReason = "no endpoint can take it";
+            const bool waited = sleepFor(m_node.m_thread.context(), PlacementRetryDelay);
             if (waited)
                 continue;
             break;
         }
-        if (attempt(*plan) == AttemptEnd::Answered)
+        if (attempt(*plan) == AttemptResult::Answered)
             return;
     }
     finishUnanswered();
@@ -211,54 +213,55 @@
 
 bool RelayRun::mayAttempt()
 {
-    if (m_hungUp || m_node.m_ending || left() <= Duration::zero() || m_placements >= MostPlacements)
+    if (m_clientLeft || m_node.m_stopping || remainingTime() <= Duration::zero()
+        || m_placements >= MaxPlacements)
         return false;
-    if (m_barredFor || !maySend())
+    if (m_quarantineRetryAfter || !maySend())
         return false;
-    if (betterElsewhere())
+    if (cannotFinishInDrain())
         return false;
-    if (m_mayHaveRun > 0 && (strict() || m_mayHaveRun >= m_route->m_maxAttempts))
+    if (m_mayHaveRun > 0 && (atMostOnce() || m_mayHaveRun >= m_route->m_maxAttempts))
         return false;
-    return m_arrivals == 0 || m_node.takeRepeat(m_serviceId, *m_view);
+    return m_sentAttempts == 0 || m_node.takeRepeat(m_serviceId, *m_view);
 }
 
 Duration RelayRun::clientPatience() const
 {
     return std::max(
-        { LeastAbandon, m_route->m_aim * AbandonAims, m_route->m_gapAim * AbandonGaps });
+        { MinClientPatience, m_route->m_aim * PatienceAims, m_route->m_gapAim * PatienceGaps });
 }
 
 void RelayRun::finishUnanswered()
 {
-    if (m_hungUp) {
+    if (m_clientLeft) {
         m_exchange.abort();
-        logEnd(RelayOutcome::Abandoned, 0, m_why);
+        logEnd(RelayOutcome::Abandoned, 0, m_failureReason);
         return;
     }
     if (m_streaming) {
         m_exchange.abort();
-        logEnd(RelayOutcome::Cut, 0, m_why);
+        logEnd(RelayOutcome::Cut, 0, m_failureReason);
         return;
     }
     if (m_mayHaveRun == 0) {
-        refuse(StatusUnavailable, m_why.empty() ? "no time left" : m_why,
-               m_barredFor.value_or(retryDelay()));
+        refuse(StatusUnavailable, m_failureReason.empty() ? "no time left" : m_failureReason,
+               m_quarantineRetryAfter.value_or(retryDelay()));
         return;
     }
-    if (m_failure) {
-        passOn(*m_failure);
+    if (m_endpointFailure) {
+        forwardResponse(*m_endpointFailure);
         return;
     }
-    const bool late = left() <= Duration::zero();
-    refuse(late ? StatusGatewayTimeout : StatusBadGateway, m_why, {});
+    const bool late = remainingTime() <= Duration::zero();
+    refuse(late ? StatusGatewayTimeout : StatusBadGateway, m_failureReason, {});
 }
 
-void RelayRun::passOn(const HttpResponse &response)
+void RelayRun::forwardResponse(const HttpResponse &response)
 {
     if (m_route->m_kind != RouteKind::Stream)
-        m_node.m_metrics.recordFirst(*m_route, Clock::now() - m_arrival);
+        m_node.m_metrics.recordFirstEventTime(*m_route, Clock::now() - m_arrival);
     m_exchange.respond(response);
-    logEnd(RelayOutcome::Complete, response.m_status, m_why);
+    logEnd(RelayOutcome::Complete, response.m_status, m_failureReason);
 }
 
 void RelayRun::refuse(unsigned status, std::string_view why, Millis retryAfter)
@@ -299,8 +302,8 @@
                               : -1)
         .number("tokens", static_cast<int64_t>(m_head.m_promptTokens))
         .number("placements", m_placements)
-        .number("arrivals", m_arrivals)
-        .number("first_ms", std::chrono::duration_cast<Millis>(m_firstAfter).count())
+        .number("arrivals", m_sentAttempts)
+        .number("first_ms", std::chrono::duration_cast<Millis>(m_firstEventDelay).count())
         .number("longest_gap_ms", std::chrono::duration_cast<Millis>(m_longestGap).count())
         .number("aim_ms", m_route ? m_route->m_aim.count() : 0)
         .number("gap_aim_ms", m_route ? m_route->m_gapAim.count() : 0)
@@ -319,12 +322,12 @@
 
 Millis RelayRun::retryDelay() const
 {
-    return isDraining(m_node.m_view.load()->m_drain) ? RetryElsewhere : RetryBusy;
+    return isDraining(m_node.m_view.load()->m_drain) ? RetryAfterDrain : RetryAfterBusy;
 }
 
-void RelayRun::giveUp()
+void RelayRun::abortForShutdown()
 {
-    m_why = "the process ends";
+    m_failureReason = "the process ends";
     if (m_connection)
         m_connection->cancel();
     DecisionLine("relay", "request given up")
--- a/relay/relay_run.h
+++ b/relay/relay_run.h
@@ -1,9 +1,10 @@
 /// One relayed request, from its arrival to its outcome.
 ///
-/// The client's method, path, body and headers go to an endpoint unchanged, and its answer comes
-/// back unchanged. What may be repeated is sent to another endpoint when one fails, within the
-/// route's attempts, the fleet's retry budget and the deadline. "Not run" is answered only if no
-/// attempt reached an endpoint, or each endpoint said that it did not run it.
+/// The client's method, path, body and headers are sent to an endpoint unchanged, and its response
+/// is returned unchanged. A repeatable request is sent to another endpoint after a failure, within
+/// the route's attempts, the fleet's retry budget and the deadline. The client is told "not run"
+/// only if no attempt reached an endpoint, or if each endpoint reported that it did not run the
+/// request.
 #pragma once
 
 #include <optional>
@@ -23,144 +24,156 @@
     RelayRun(const RelayRun &) = delete;
     RelayRun &operator=(const RelayRun &) = delete;
 
-    /// Answers the exchange. Blocks its fiber until the end.
+    /// Answers the exchange. Blocks its fiber until the request has ended.
     void run();
-    /// Ends the request with the answer that is true now, as the daemon ends. After m_ending is
-    /// set; on the traffic thread.
-    void giveUp();
+    /// Cancels the attempt in progress at shutdown, so that run() answers with the current outcome.
+    /// Call it after m_stopping is set, on the traffic thread.
+    void abortForShutdown();
 
 private:
-    /// How one attempt ended.
-    enum class AttemptEnd {
-        Answered, ///< The client has the whole answer.
+    /// The result of one attempt.
+    enum class AttemptResult {
+        Answered, ///< The client received the whole response.
         NotSent, ///< Nothing reached the endpoint.
-        NotRun, ///< The endpoint refused it.
+        NotRun, ///< The endpoint refused it without running it.
         Failed, ///< It may have run.
     };
 
-    /// Waits between tries while no endpoint can take the request.
-    static constexpr Millis PlacementPause{ 60 };
+    /// Delay between placement attempts while no endpoint can take the request.
+    static constexpr Millis PlacementRetryDelay{ 60 };
 
     bool admit();
     bool admitKey(bool fresh);
-    /// Whether the request can end before the daemon does, if that drains.
-    bool admitDrain();
-    /// Whether it may be tried, as endpoints may have ended under it; else says why it is barred.
+    /// Whether the request can finish before a draining daemon stops; else refuses it.
+    bool admitWhileDraining();
+    /// Whether the request may be sent, considering the process exits under it. If not, sets
+    /// m_failureReason and m_quarantineRetryAfter.
     bool maySend();
     void attemptUntilDone();
-    /// Whether another attempt may be made, given that some were.
+    /// Whether another attempt may be made; takes it out of the retry budget if one was sent
+    /// before.
     bool mayAttempt();
 
     // relay_placement.cpp
-    /// What is in flight, and how its service's engines are divided.
-    struct PoolNow {
+    /// The requests in flight, and how the service's engines are divided.
+    struct PoolState {
         EndpointUses m_uses;
         std::unordered_set<EndpointId> m_strictSide; ///< Empty for a plain service.
     };
-    PoolNow poolNow() const;
-    std::optional<GangPlan> choose(StreamCare care, const PoolNow &seen);
+    PoolState poolState() const;
+    std::optional<GangPlan> choosePlan(StreamCare care, const PoolState &seen);
     bool isModelRequest() const;
     uint32_t gapLimitMs() const { return static_cast<uint32_t>(m_route->m_gapAim.count()); }
-    /// Waits until this request may begin. Nothing if it ends before, or if no endpoint can take a
-    /// request that waits for no turn.
+    /// Blocks until this request may begin, and returns its placement. Nothing if the request ends
+    /// before, or, for a request that needs no turn, if no endpoint can take it.
     std::optional<GangPlan> awaitTurn();
-    /// Whether it begins now.
-    TurnLook look(const WaitingTurn &turn, TurnObstacle before);
+    /// Checks whether the request may begin now.
+    TurnLook checkTurn(const WaitingTurn &turn, TurnObstacle before);
     ModelRequest modelRequest() const;
-    /// What the engines for this one's kind of stream have to do now.
-    SideLoad sideLoad(const PoolNow &seen) const;
-    /// Engines of its service.
+    /// The current load of the engines that serve this request's kind of stream.
+    SideLoad sideLoad(const PoolState &seen) const;
+    /// Number of endpoints of the service.
     size_t poolSize() const;
-    /// From the beginning of an attempt to its end, on engines that are full; @p slack is by how
-    /// much its parts may become longer than the declared costs say.
-    Duration timeToEnd(double slack) const;
+    /// Expected time from the start of an attempt to its end on fully loaded engines; @p slack is
+    /// the factor by which its parts may exceed the declared costs.
+    Duration timeToComplete(double slack) const;
     RequestTime timeNeeded() const;
-    /// Whether nothing has run, and an attempt that begins now cannot end before the daemon does.
-    bool betterElsewhere() const;
+    /// Whether the request has not run, and an attempt that begins now cannot end before the
+    /// draining daemon stops.
+    bool cannotFinishInDrain() const;
     std::vector<EndpointRecord> candidates() const;
-    /// A plan on engines of @p pool.
-    std::optional<GangPlan> planOn(const std::vector<EndpointRecord> &pool, StreamCare care,
-                                   const PoolNow &seen);
+    /// A placement on endpoints of @p pool; nothing if none can take the request.
+    std::optional<GangPlan> planWithin(const std::vector<EndpointRecord> &pool, StreamCare care,
+                                       const PoolState &seen);
     void logPlacement(const GangPlan &plan) const;
-    /// What stood in the way of one that is refused for want of time.
+    /// Logs why a request is refused that can no longer begin in time.
     void logTooLate(const WaitingTurn &turn) const;
 
     // relay_attempt.cpp
-    AttemptEnd attempt(const GangPlan &plan);
-    AttemptEnd attemptPlaced(const GangPlan &plan, const MemoryTickets &tickets);
-    AttemptEnd converse(HttpConnection &connection, const EndpointRecord &endpoint, bool reused,
-                        TimePoint firstBy);
-    AttemptEnd takeAnswer(HttpConnection &connection, const EndpointRecord &endpoint,
-                          const AnswerHead &head, HttpResponse response, TimePoint firstBy);
-    AttemptEnd takeRefusal(HttpConnection &connection, const EndpointRecord &endpoint,
-                           const AnswerHead &head, const HttpResponse &response, bool reused);
-    AttemptEnd takeStream(HttpConnection &connection, const EndpointRecord &endpoint,
-                          const AnswerHead &head, const HttpResponse &response, TimePoint firstBy);
-    AttemptEnd failAttempt(const EndpointRecord &endpoint, FailureWeight weight,
-                           std::string_view why);
-    /// The endpoint did not answer, or stopped in its answer.
-    AttemptEnd failRead(const HttpConnection &connection, const EndpointRecord &endpoint,
-                        const Error &error);
-    /// The answer of @p endpoint broke off: finds out whether an endpoint of the attempt ended
-    /// under it, and tells the other VMs.
-    void noteBroken(const HttpConnection &connection, const EndpointRecord &endpoint);
-    /// The endpoint's whole answer came.
+    AttemptResult attempt(const GangPlan &plan);
+    AttemptResult attemptPlaced(const GangPlan &plan, const MemoryTickets &reservations);
+    AttemptResult processResponse(HttpConnection &connection, const EndpointRecord &endpoint,
+                                  bool reused, TimePoint firstEventBy);
+    AttemptResult relayWholeResponse(HttpConnection &connection, const EndpointRecord &endpoint,
+                                     const AnswerHead &head, HttpResponse response,
+                                     TimePoint firstEventBy);
+    AttemptResult handleRefusal(HttpConnection &connection, const EndpointRecord &endpoint,
+                                const AnswerHead &head, const HttpResponse &response, bool reused);
+    AttemptResult relayStream(HttpConnection &connection, const EndpointRecord &endpoint,
+                              const AnswerHead &head, const HttpResponse &response,
+                              TimePoint firstEventBy);
+    AttemptResult failAttempt(const EndpointRecord &endpoint, FailureWeight weight,
+                              std::string_view why);
+    /// Handles an endpoint that did not answer, or stopped during its response.
+    AttemptResult failRead(const HttpConnection &connection, const EndpointRecord &endpoint,
+                           const Error &error);
+    /// Handles a broken response of @p endpoint: checks whether the process of an endpoint of the
+    /// attempt has exited, and reports to the other VMs.
+    void noteBrokenResponse(const HttpConnection &connection, const EndpointRecord &endpoint);
+    /// Called when the endpoint's whole response has arrived.
     void noteCompleted(unsigned status);
-    AttemptEnd failSilent(const HttpConnection &connection, const EndpointRecord &endpoint);
-    bool takeEvents(EventSplitter &events, std::string &batch);
-    void passOnEvents(const AnswerHead &head, unsigned status, const std::string &batch);
-    HttpRequest upstreamRequest(const GangPlan &plan, const MemoryTickets &tickets) const;
+    AttemptResult failSilentConnection(const HttpConnection &connection,
+                                       const EndpointRecord &endpoint);
+    bool collectEvents(EventSplitter &events, std::string &batch);
+    void forwardEvents(const AnswerHead &head, unsigned status, const std::string &batch);
+    HttpRequest upstreamRequest(const GangPlan &plan, const MemoryTickets &reservations) const;
     bool mayRepeat() const;
-    Duration silencePatience() const;
-    Duration firstPatience(const GangPlan &plan) const;
+    Duration streamSilenceTimeout() const;
+    Duration firstEventTimeout(const GangPlan &plan) const;
 
-    /// How long the client bears silence before it leaves.
+    /// How long the client waits without an event before it disconnects.
     Duration clientPatience() const;
-    Duration left() const;
+    Duration remainingTime() const;
     void finishUnanswered();
     void refuse(unsigned status, std::string_view why, Millis retryAfter);
-    void passOn(const HttpResponse &response);
+    void forwardResponse(const HttpResponse &response);
     void logEnd(RelayOutcome outcome, unsigned status, std::string_view why);
-    /// What a client is told that is to come back: at once if this VM goes, as others serve.
+    /// The Retry-After for a refused client: nearly immediate if this VM drains, because other VMs
+    /// can serve the request.
     Millis retryDelay() const;
-    /// How long the daemon had been draining when the request came; below zero: it was not.
+    /// Time from the start of the drain to the arrival of the request, in milliseconds; -1 if the
+    /// daemon does not drain.
     int64_t arrivedInDrainMs() const;
 
-    bool strict() const { return !m_route->repeatable(); }
-    /// The same for each try of the same request: its method, target, customer and body.
-    const Fingerprint &print();
-    /// Whether it may be a suspect. Reads no body.
+    bool atMostOnce() const { return !m_route->repeatable(); }
+    /// Hash of the request's method, target, customer and body; equal for each attempt of the same
+    /// request.
+    const Fingerprint &fingerprint();
+    /// Whether the request may be a suspect. Does not hash the body.
     bool maybeSuspect() const;
 
     RelayNode &m_node;
     HttpExchange &m_exchange;
     const TimePoint m_arrival;
     RelayHead m_head;
-    RelayViewPtr m_view; ///< At the arrival: decides on the route.
+    RelayViewPtr m_view; ///< The view at the arrival, which determines the route.
     const Route *m_route = nullptr;
     const DeclaredService *m_service = nullptr;
     ServiceId m_serviceId;
     CustomerId m_customer;
-    std::optional<Fingerprint> m_print; ///< Once it was needed.
+    std::optional<Fingerprint> m_print; ///< Set when it is first needed.
     uint32_t m_urgency = 0;
     TimePoint m_deadline{};
-    std::unordered_set<EndpointId> m_tried; ///< Not to be tried again.
-    uint32_t m_arrivals = 0; ///< Attempts that reached an endpoint.
-    uint32_t m_mayHaveRun = 0; ///< Of those, the ones not refused.
+    std::unordered_set<EndpointId> m_triedEndpoints; ///< Endpoints that are not tried again.
+    uint32_t m_sentAttempts = 0; ///< Attempts sent to an endpoint.
+    uint32_t m_mayHaveRun = 0; ///< Of those, the ones that were not refused.
     uint32_t m_placements = 0;
-    HttpConnection *m_connection = nullptr; ///< Of the attempt in progress.
-    const GangPlan *m_plan = nullptr; ///< Of the attempt in progress.
-    LoadKey m_load;
-    std::optional<uint64_t> m_lastEvent; ///< That the client has.
-    std::optional<HttpResponse> m_failure; ///< An endpoint's own failure, if nothing better comes.
-    std::string m_why; ///< Of the last failed attempt.
-    SuspectCare m_care = SuspectCare::None; ///< How it may be tried, as last judged.
-    std::optional<Millis> m_barredFor; ///< It is not tried any more here; when it may come back.
-    TimePoint m_lastPassedOn{}; ///< When the client was last sent events.
-    Duration m_longestGap{}; ///< Between events, as passed on.
-    Duration m_firstAfter{}; ///< From arrival to the first event.
-    bool m_streaming = false; ///< The client has the answer's head.
-    bool m_hungUp = false;
+    HttpConnection *m_connection = nullptr; ///< Connection of the attempt in progress.
+    const GangPlan *m_plan = nullptr; ///< Placement of the attempt in progress.
+    LoadKey m_loadKey;
+    std::optional<uint64_t> m_lastEvent; ///< Last event id that the client received.
+    /// An endpoint's error response, used if no attempt succeeds.
+    std::optional<HttpResponse> m_endpointFailure;
+    std::string m_failureReason; ///< Reason of the last failed attempt.
+    /// Restrictions on the placement of a suspect, as last decided.
+    SuspectCare m_care = SuspectCare::None;
+    /// Set once the request is not sent any more: when the client may retry.
+    std::optional<Millis> m_quarantineRetryAfter;
+    TimePoint m_lastPassedOn{}; ///< When events were last sent to the client.
+    Duration m_longestGap{}; ///< Longest time between events sent to the client.
+    Duration m_firstEventDelay{}; ///< Time from the arrival to the first event.
+    bool m_streaming = false; ///< The client has received the head of the response.
+    bool m_clientLeft = false;
 };
 
 } // namespace stackquay
--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -5,25 +5,26 @@
 
 namespace stackquay {
 
-/// What the users promise or ask in figures; may change while the daemon runs.
+/// Guarantees and limits that the operator sets; may change while the daemon runs.
 struct RelayBounds {
-    bool m_strictKeys = true; ///< A key that was taken away must stop working in time.
-    Millis m_revoke{ 5'000 }; ///< That time, from the store's acknowledgement.
+    bool m_strictKeys = true; ///< Reject keys if their revocation cannot be checked in time.
+    /// Time until a revoked key stops working, from the store's acknowledgement.
+    Millis m_revoke{ 5'000 };
     double m_retryRatio = 0.1;
     double m_retrySlack = 10;
     Seconds m_retryWindow{ 10 };
-    Seconds m_grace{ 8 }; ///< From SIGTERM to SIGKILL.
-    Millis m_contact{ 3'000 }; ///< So long after a disturbance all has to be as before.
-    Millis m_longestHold{ 20'000 }; ///< Of reserved memory.
-    Millis m_freeMemory{ 4'000 }; ///< Memory must be free so long after its last use.
+    Seconds m_grace{ 8 }; ///< Time from SIGTERM to SIGKILL.
+    Millis m_contact{ 3'000 }; ///< Time within which service has to recover after a disturbance.
+    Millis m_longestHold{ 20'000 }; ///< Maximum hold time of a memory reservation.
+    Millis m_freeMemory{ 4'000 }; ///< Time within which memory must be free after its last use.
 
     bool operator==(const RelayBounds &) const = default;
 };
 
-/// Bytes that nobody acknowledges for so long: their connection is dead. With the 200 ms before the
-/// system counts, and the way to a new connection, service is back within a third of the time in
-/// which it must be: 750 ms where that is 3 s.
-inline Millis silenceBound(const RelayBounds &bounds)
+/// Time after which a connection with unacknowledged bytes is considered dead. Together with the
+/// 200 ms before the kernel starts to count, and a new connection, service recovers within a third
+/// of the allowed time; the result is 750 ms if that is 3 s.
+inline Millis silenceTimeout(const RelayBounds &bounds)
 {
     constexpr int Share = 4;
     return bounds.m_contact / Share;
@@ -32,13 +33,13 @@
 struct RelaySettings {
     VmId m_vm;
     DataCentreId m_dataCentre;
-    Address m_clients; ///< Where clients' connections arrive.
-    Address m_ready; ///< Where the balancer asks for readiness; metrics are there too.
-    Address m_peerCalls; ///< TCP, between VMs.
-    Address m_beats; ///< UDP, between VMs.
-    Address m_loads; ///< UDP, between VMs.
+    Address m_clients; ///< Listening address for clients.
+    Address m_ready; ///< Listening address for readiness checks and metrics.
+    Address m_peerCalls; ///< RPC between VMs, TCP.
+    Address m_beats; ///< Heartbeats between VMs, UDP.
+    Address m_loads; ///< Load messages between VMs, UDP.
     Address m_store;
-    uint32_t m_connections = 1'000; ///< Clients' connections at once.
+    uint32_t m_connections = 1'000; ///< Maximum number of client connections.
     RelayBounds m_bounds;
 };
 
--- a/relay/relay_view.cpp
+++ b/relay/relay_view.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Whether model engines serve @p service. Plain services have little to plan, and few endpoints.
+/// Whether model engines serve @p service. Plain services are not divided among cells: they have
+/// few endpoints and need little planning.
 bool isModelService(const RelayView &view, const ServiceId &service)
 {
     if (!view.m_routes)
@@ -23,7 +24,7 @@
     return found == view.m_pools.end() ? nullptr : &found->second;
 }
 
-void renewPools(RelayView &view)
+void rebuildPools(RelayView &view)
 {
     view.m_pools.clear();
     if (!view.m_directory)
--- a/relay/source.h
+++ b/relay/source.h
@@ -1,4 +1,4 @@
-/// Where the declared routes and the endpoints stand in the store, and how they are decoded.
+/// Where the store holds the declared routes and the endpoints, and how they are decoded.
 #pragma once
 
 #include "policy/policy.h"
@@ -8,10 +8,10 @@
 
 struct RelaySource {
     std::string m_routesKind;
-    std::string m_routesName; ///< The one object that holds all routes.
+    std::string m_routesName; ///< Name of the single object that holds all routes.
     std::string m_endpointsKind;
-    std::string m_vmsKind; ///< Our own: one object a VM.
-    std::string m_condemnedKind; ///< Our own: one object.
+    std::string m_vmsKind; ///< Kind of the objects that VMs register; one object for each VM.
+    std::string m_quarantineKind; ///< Kind of the object with the quarantined requests.
     Result<RouteTable> (*m_decodeRoutes)(const std::string &spec) = nullptr;
     Result<EndpointRecord> (*m_decodeEndpoint)(const KindObject &object) = nullptr;
 };
