--- a/relay/store_follower.cpp
+++ b/relay/store_follower.cpp
@@ -6,51 +6,53 @@
 
 namespace {
 
-/// A waiting watch is one call; a longer wait makes fewer, and a connection that fell silent is
-/// noticed later. Routes are read for their proofs besides.
-constexpr Millis EndpointsWait{ 2'500 };
-constexpr Millis RoutesWait{ 8'000 };
-/// Proofs older than this are renewed, plus up to the jitter, so that mostly one VM of those on
-/// duty reads and the others hear of it.
-constexpr Millis DutyProofAge{ 900 };
-constexpr Millis DutyProofJitter{ 400 };
-/// VMs without duty read only if those on duty fail to tell for longer than one takes to lose it.
-constexpr Millis OtherProofAge{ 2'000 };
-constexpr Millis OtherProofJitter{ 900 };
+/// A waiting watch is one call: a longer timeout needs fewer calls, but detects a dead connection
+/// later. Routes are also read for their proofs.
+constexpr Millis EndpointsWatchTimeout{ 2'500 };
+constexpr Millis RoutesWatchTimeout{ 8'000 };
+/// Older proofs are renewed. Because of the jitter, mostly one of the store watchers reads and the
+/// others receive its proof.
+constexpr Millis WatcherProofAge{ 900 };
+constexpr Millis WatcherProofJitter{ 400 };
+/// Other VMs read only if the store watchers send no proof for longer than it takes to replace a
+/// failed one.
+constexpr Millis NonWatcherProofAge{ 2'000 };
+constexpr Millis NonWatcherProofJitter{ 900 };
 constexpr Millis Poll{ 100 };
-/// A poll that is so late means that the VM stood still; one that is busy is late by some 100 ms.
-constexpr Millis StoodStill{ 1'000 };
-/// After a change of endpoints the next ones are taken together: while endpoints register one after
-/// the other, each would be told alone to every VM that watches. Part of the seconds within which
-/// an endpoint that leaves has to be known.
-constexpr Millis JoinChanges{ 200 };
-/// After failures; a store that is back has to be noticed within a second.
-constexpr BackoffSettings Backoff{ Millis(100), Millis(800) };
-/// Of VMs without duty, of which there are many: one on duty notices sooner, and tells them.
-constexpr BackoffSettings OtherBackoff{ Millis(500), Millis(4'000) };
-/// A watch that failed tries again after so long, also if nothing else has reached the store.
-constexpr Millis LongestWait{ 2'000 };
-/// A VM that starts hears the configuration from its peers, if it has any, within this time.
+/// A poll that is late by this much means that the VM was suspended; under load it is late by about
+/// 100 ms.
+constexpr Millis SuspensionThreshold{ 1'000 };
+/// Delay of a watch after a change, which batches changes: while endpoints register one after the
+/// other, each change would otherwise be sent to every watching VM alone. It is part of the few
+/// seconds within which a leaving endpoint must be known.
+constexpr Millis ChangeBatchDelay{ 200 };
+/// After failures; a recovered store must be noticed within a second.
+constexpr BackoffSettings WatcherBackoff{ Millis(100), Millis(800) };
+/// Longer for the many other VMs: a store watcher notices the recovery first and informs them.
+constexpr BackoffSettings NonWatcherBackoff{ Millis(500), Millis(4'000) };
+/// A failed watch retries after this time even if no other call has reached the store.
+constexpr Millis MaxAnswerWait{ 2'000 };
+/// A new VM receives the configuration from its peers, if it has any, within this time.
 constexpr Millis FirstReadAfter{ 1'500 };
-/// After an outage, endpoints that the store lost are back within two seconds, if they live.
-constexpr Millis ReturnGrace{ 2'000 };
-/// Failures in a row for this long are an outage, and so is a gap between proofs: entries of
-/// endpoints lapse after three heartbeats, 3.6 s, of which one may have passed before.
+/// After an outage, live endpoints that the store lost register again within 2 s.
+constexpr Millis RecoveryGrace{ 2'000 };
+/// Consecutive failures for this long are an outage, and so is a gap of OutageGap between proofs:
+/// entries of endpoints expire after three heartbeats, 3.6 s, of which one may have passed before.
 constexpr Millis OutageAfter{ 1'000 };
 constexpr Millis OutageGap{ 2'500 };
-/// In a copy from which the store came back, endpoints that left since are there, and those that
-/// drain are ready. What lives writes again within two seconds; the entry of one that is gone is
-/// removed after three heartbeats, 3.6 s.
-constexpr Millis CopyDoubt{ 5'000 };
-/// What an ended process wrote is carried out seconds later at most.
-constexpr Seconds ForgetStartsAfter{ 60 };
-/// A VM that had no answer for so long, one a second being usual, and whose calls failed so short
-/// ago, is not the one to follow the store for others. One lost answer says nothing.
-constexpr Millis UnableAfterSilence{ 1'200 };
-constexpr Millis UnableAfterFailure{ 5'000 };
-
-/// One line for all that a peer's directory changed here.
-void logTaken(const EndpointMap &before, const EndpointDirectory &now)
+/// A backup from which the store was restored contains endpoints that have left since, and shows
+/// draining ones as ready. Live endpoints write their entry again within 2 s; the entry of a dead
+/// one is removed after three heartbeats, 3.6 s.
+constexpr Millis RestoreGrace{ 5'000 };
+/// Writes of an exited process are applied some seconds later at most.
+constexpr Seconds ForgetProcessesAfter{ 60 };
+/// A VM without an answer for this long, where one a second is usual, and with failed calls until
+/// this recently, should not be a store watcher. One lost answer is no evidence.
+constexpr Millis UnreachableAfterSilence{ 1'200 };
+constexpr Millis UnreachableAfterFailure{ 5'000 };
+
+/// Logs the changes merged from a peer's directory in one line.
+void logMerge(const EndpointMap &before, const EndpointDirectory &now)
 {
     std::string gone;
     for (const auto &[id, endpoint] : before) {
@@ -84,17 +86,17 @@
         , m_random(std::random_device{}())
     { }
 
-    /// One kind of objects that is followed: how it is listed, and how its events are taken.
-    struct Followed {
+    /// A watched kind of objects, with its list and update functions.
+    struct WatchedKind {
         std::string m_kind;
-        Millis m_wait;
-        Millis m_join; ///< After a change, until the next ones are asked for.
+        Millis m_watchTimeout;
+        Millis m_batchDelay; ///< Pause after a change before the next watch call.
         bool (State::*m_list)(StorePosition &position);
-        void (State::*m_take)(const KindEvents &events);
+        void (State::*m_apply)(const KindEvents &events);
     };
 
-    /// The latest process known under an id, kept when its entry is gone.
-    struct Start {
+    /// The latest known process of an endpoint id; kept after its entry is removed.
+    struct ProcessStart {
         uint64_t m_startedMs = 0;
         TimePoint m_seen{};
     };
@@ -105,53 +107,56 @@
     FollowerHooks m_hooks;
     RandomEngine m_random;
     RouteTablePtr m_routes;
-    std::string m_routesSpec; ///< As last decoded, so that an unchanged one is not decoded again.
+    std::string m_routesSpec; ///< The last decoded spec; an unchanged one is not decoded again.
     EndpointDirectory m_directory;
-    std::unordered_map<EndpointId, Start> m_starts;
-    std::unordered_map<EndpointId, TimePoint> m_removals; ///< Doubtful ones, gone at these times.
+    std::unordered_map<EndpointId, ProcessStart> m_processStarts;
+    /// Unconfirmed endpoints, and when they are removed.
+    std::unordered_map<EndpointId, TimePoint> m_pendingRemovals;
     TimePoint m_startedAt{};
-    TimePoint m_failingSince{}; ///< First of the calls that failed in a row.
+    TimePoint m_failingSince{}; ///< First of the consecutive failures.
     TimePoint m_lastAnswer{};
-    TimePoint m_unableAt{}; ///< Last failure after a silence of some time.
-    TimePoint m_returnedAt{}; ///< End of the last outage, or the first list.
-    TimePoint m_copyReadUntil{}; ///< Lists may tell what was, as the store came back from a copy.
-    std::unordered_map<EndpointId, TimePoint> m_left; ///< Endpoints that are gone, since when.
-    uint64_t m_generation = 0; ///< Watches of an earlier one end.
+    TimePoint m_unreachableAt{}; ///< Last failure after UnreachableAfterSilence.
+    TimePoint m_recoveredAt{}; ///< End of the last outage, or time of the first list.
+    /// Until then lists may contain outdated entries, because the store was restored from a backup.
+    TimePoint m_restoreGraceUntil{};
+    /// Removed endpoints, and when they were removed.
+    std::unordered_map<EndpointId, TimePoint> m_departed;
+    uint64_t m_generation = 0; ///< Watches of earlier generations stop.
     bool m_watching = false;
 
-    bool takeRoutes(const std::string &spec);
-    void followDuty();
-    void noteStandstill(Duration sincePoll);
+    bool applyRoutes(const std::string &spec);
+    void followWatcherRole();
+    void noteSuspension(Duration sincePoll);
     void startWatches();
-    void watch(const Followed &followed, uint64_t generation);
+    void watch(const WatchedKind &followed, uint64_t generation);
     void proveRoutes();
     Millis proofDue();
     bool readRoutes();
     bool listRoutes(StorePosition &position);
-    void takeRouteEvents(const KindEvents &events);
+    void applyRouteEvents(const KindEvents &events);
     bool listEndpoints(StorePosition &position);
-    void takeEndpointEvents(const KindEvents &events);
-    void takeEndpoint(const KindObject &object);
+    void applyEndpointEvents(const KindEvents &events);
+    void applyEndpoint(const KindObject &object);
     void dropUnreadable(const KindObject &object, const Error &error);
-    void forgetOldStarts();
-    void noteLeft(const EndpointMap &before);
-    bool isFromCopy(const KindObject &object);
-    void endCopyDoubt();
+    void forgetOldProcesses();
+    void noteDepartures(const EndpointMap &before);
+    bool isStaleAfterRestore(const KindObject &object);
+    void endRestoreGrace();
     bool isFromEarlierProcess(const EndpointRecord &endpoint);
     void removeEndpoint(const EndpointId &endpoint);
-    void endDoubts();
-    void noteDoubts();
+    void expireUnconfirmed();
+    void scheduleRemovals();
     void publishDirectory(const StorePosition &position);
-    void noteAlive();
+    void noteAnswer();
     bool backOff(unsigned failures);
     bool pause(unsigned failures);
     bool awaitAnswer(uint64_t generation);
-    bool inReturnGrace(TimePoint now) const;
+    bool inRecoveryGrace(TimePoint now) const;
 };
 
-bool StoreFollower::State::inReturnGrace(TimePoint now) const
+bool StoreFollower::State::inRecoveryGrace(TimePoint now) const
 {
-    return m_returnedAt != TimePoint{} && now - m_returnedAt < ReturnGrace;
+    return m_recoveredAt != TimePoint{} && now - m_recoveredAt < RecoveryGrace;
 }
 
 bool StoreFollower::State::backOff(unsigned failures)
@@ -159,22 +164,22 @@
     const TimePoint now = Clock::now();
     if (m_failingSince == TimePoint{})
         m_failingSince = now;
-    if (now - m_lastAnswer > UnableAfterSilence)
-        m_unableAt = now;
+    if (now - m_lastAnswer > UnreachableAfterSilence)
+        m_unreachableAt = now;
     return pause(failures);
 }
 
 bool StoreFollower::State::pause(unsigned failures)
 {
-    const BackoffSettings &backoff = m_watching ? Backoff : OtherBackoff;
+    const BackoffSettings &backoff = m_watching ? WatcherBackoff : NonWatcherBackoff;
     return sleepFor(m_thread.context(), backoffDelay(backoff, failures, m_random) + Millis(20));
 }
 
-/// While the store answers nothing, one fiber asks it for the age of the routes; those that watch
-/// wait for its success, so that an outage costs a third of the calls. False: the thread stops.
+/// While the store does not answer, only proveRoutes() calls it and the watches wait for its
+/// success, so that an outage causes a third of the calls. Returns false if the thread stops.
 bool StoreFollower::State::awaitAnswer(uint64_t generation)
 {
-    const TimePoint until = Clock::now() + LongestWait;
+    const TimePoint until = Clock::now() + MaxAnswerWait;
     while (generation == m_generation && m_failingSince != TimePoint{} && Clock::now() < until) {
         if (!sleepFor(m_thread.context(), Poll))
             return false;
@@ -182,10 +187,10 @@
     return true;
 }
 
-/// To be called with each answer of the store, before what it says is taken: after an outage,
-/// endpoints that it has lost are not gone yet, and watches that still wait may never be answered,
-/// so that new ones take their place.
-void StoreFollower::State::noteAlive()
+/// Called with each answer of the store, before its content is applied. After an outage, endpoints
+/// that the store lost are kept for a while, and new watches replace the pending ones, which may
+/// never be answered.
+void StoreFollower::State::noteAnswer()
 {
     const TimePoint now = Clock::now();
     const bool outage = m_failingSince != TimePoint{} && now - m_failingSince > OutageAfter;
@@ -193,61 +198,62 @@
     m_lastAnswer = now;
     if (!outage)
         return;
-    m_returnedAt = now;
+    m_recoveredAt = now;
     DecisionLine("store", "store regained").write();
     if (m_watching)
         startWatches();
 }
 
-void StoreFollower::State::noteStandstill(Duration sincePoll)
+void StoreFollower::State::noteSuspension(Duration sincePoll)
 {
-    if (sincePoll < Poll + StoodStill)
+    if (sincePoll < Poll + SuspensionThreshold)
         return;
     DecisionLine("main", "stood still")
         .number("ms", std::chrono::duration_cast<Millis>(sincePoll - Poll).count())
         .write();
-    m_hooks.m_stoodStill();
+    m_hooks.m_onSuspension();
 }
 
-/// Begins and ends to follow the store, as the VM takes and loses the duty.
-void StoreFollower::State::followDuty()
+/// Starts and stops the watches as this VM becomes a store watcher or stops being one.
+void StoreFollower::State::followWatcherRole()
 {
     TimePoint polled = Clock::now();
     do {
-        noteStandstill(Clock::now() - std::exchange(polled, Clock::now()));
-        const bool onDuty = m_hooks.m_onDuty();
-        if (onDuty != m_watching) {
-            m_watching = onDuty;
-            DecisionLine("store", onDuty ? "follows the store" : "hears of the store from peers")
+        noteSuspension(Clock::now() - std::exchange(polled, Clock::now()));
+        const bool watchesStore = m_hooks.m_watchesStore();
+        if (watchesStore != m_watching) {
+            m_watching = watchesStore;
+            DecisionLine("store",
+                         watchesStore ? "follows the store" : "hears of the store from peers")
                 .write();
-            if (onDuty) {
+            if (watchesStore) {
                 startWatches();
             } else {
                 ++m_generation;
                 m_failingSince = {};
             }
         }
-        endDoubts();
-        endCopyDoubt();
+        expireUnconfirmed();
+        endRestoreGrace();
     } while (sleepFor(m_thread.context(), Poll));
 }
 
 void StoreFollower::State::startWatches()
 {
     const uint64_t generation = ++m_generation;
-    const Followed routes{ m_source.m_routesKind, RoutesWait, Millis(0), &State::listRoutes,
-                           &State::takeRouteEvents };
-    const Followed endpoints{ m_source.m_endpointsKind, EndpointsWait, JoinChanges,
-                              &State::listEndpoints, &State::takeEndpointEvents };
-    for (const Followed &followed : { routes, endpoints }) {
+    const WatchedKind routes{ m_source.m_routesKind, RoutesWatchTimeout, Millis(0),
+                              &State::listRoutes, &State::applyRouteEvents };
+    const WatchedKind endpoints{ m_source.m_endpointsKind, EndpointsWatchTimeout, ChangeBatchDelay,
+                                 &State::listEndpoints, &State::applyEndpointEvents };
+    for (const WatchedKind &followed : { routes, endpoints }) {
         spawnFiber([self = shared_from_this(), followed, generation] {
             self->watch(followed, generation);
         });
     }
 }
 
-/// Lists, then watches from there, until a later generation takes over.
-void StoreFollower::State::watch(const Followed &followed, uint64_t generation)
+/// Lists, then watches from that position, until a later generation starts.
+void StoreFollower::State::watch(const WatchedKind &followed, uint64_t generation)
 {
     unsigned failures = 0;
     StorePosition position;
@@ -257,7 +263,7 @@
                 return;
             continue;
         }
-        const auto events = m_store.watch(followed.m_kind, position, followed.m_wait);
+        const auto events = m_store.watch(followed.m_kind, position, followed.m_watchTimeout);
         if (generation != m_generation)
             return;
         if (!events) {
@@ -269,17 +275,17 @@
             continue;
         }
         failures = 0;
-        noteAlive();
+        noteAnswer();
         if (generation != m_generation)
             return;
         position = events->m_position;
-        (this->*followed.m_take)(*events);
-        if (!events->m_events.empty() && !sleepFor(m_thread.context(), followed.m_join))
+        (this->*followed.m_apply)(*events);
+        if (!events->m_events.empty() && !sleepFor(m_thread.context(), followed.m_batchDelay))
             return;
     }
 }
 
-bool StoreFollower::State::takeRoutes(const std::string &spec)
+bool StoreFollower::State::applyRoutes(const std::string &spec)
 {
     if (m_routes && spec == m_routesSpec)
         return true;
@@ -299,7 +305,7 @@
         .write();
     m_routes = std::make_shared<const RouteTable>(std::move(*table));
     m_routesSpec = spec;
-    m_hooks.m_routes(m_routes, spec);
+    m_hooks.m_onRoutes(m_routes, spec);
     return true;
 }
 
@@ -309,17 +315,17 @@
     const auto object = m_store.get(m_source.m_routesKind, m_source.m_routesName);
     if (!object)
         return false;
-    noteAlive();
-    if (!takeRoutes(object->m_spec))
+    noteAnswer();
+    if (!applyRoutes(object->m_spec))
         return false;
-    m_hooks.m_proof({ m_routes->m_version, begun, object->m_position.m_era });
+    m_hooks.m_onProof({ m_routes->m_version, begun, object->m_position.m_era });
     return true;
 }
 
 Millis StoreFollower::State::proofDue()
 {
-    const Millis age = m_watching ? DutyProofAge : OtherProofAge;
-    const Millis most = m_watching ? DutyProofJitter : OtherProofJitter;
+    const Millis age = m_watching ? WatcherProofAge : NonWatcherProofAge;
+    const Millis most = m_watching ? WatcherProofJitter : NonWatcherProofJitter;
     std::uniform_int_distribution<Millis::rep> jitter(0, most.count());
     return age + Millis(jitter(m_random));
 }
@@ -336,12 +342,13 @@
         }
         const FreshnessProof best = m_hooks.m_bestProof();
         const TimePoint now = Clock::now();
-        // One on duty whose calls fail asks in any case: its watches wait for the success.
+        // A store watcher whose calls fail reads in any case, because its watches wait for a
+        // success.
         const bool fails = m_watching && m_failingSince != TimePoint{};
-        const bool young = !fails && m_routes && best.m_version == m_routes->m_version
-                           && now - best.m_provedAt < due;
+        const bool recent = !fails && m_routes && best.m_version == m_routes->m_version
+                            && now - best.m_provedAt < due;
         const bool starts = !m_routes && !m_watching && now - m_startedAt < FirstReadAfter;
-        if (young || starts) {
+        if (recent || starts) {
             if (!sleepFor(m_thread.context(), Poll))
                 return;
             continue;
@@ -362,24 +369,24 @@
     const auto page = m_store.list(m_source.m_routesKind);
     if (!page)
         return false;
-    noteAlive();
+    noteAnswer();
     for (const KindObject &object : page->m_objects) {
-        if (object.m_name == m_source.m_routesName && takeRoutes(object.m_spec))
-            m_hooks.m_proof({ m_routes->m_version, begun, page->m_position.m_era });
+        if (object.m_name == m_source.m_routesName && applyRoutes(object.m_spec))
+            m_hooks.m_onProof({ m_routes->m_version, begun, page->m_position.m_era });
     }
     position = page->m_position;
     return true;
 }
 
-void StoreFollower::State::takeRouteEvents(const KindEvents &events)
+void StoreFollower::State::applyRouteEvents(const KindEvents &events)
 {
     for (const KindEvent &event : events.m_events) {
         if (!event.m_removed && event.m_object.m_name == m_source.m_routesName)
-            takeRoutes(event.m_object.m_spec);
+            applyRoutes(event.m_object.m_spec);
     }
 }
 
-void StoreFollower::State::takeEndpoint(const KindObject &object)
+void StoreFollower::State::applyEndpoint(const KindObject &object)
 {
     auto endpoint = m_source.m_decodeEndpoint(object);
     if (!endpoint) {
@@ -403,8 +410,8 @@
     known = std::move(*endpoint);
 }
 
-/// An entry that cannot be read names no endpoint, also if it did before. Said once: whoever writes
-/// such an entry may write it at each heartbeat.
+/// An entry that cannot be decoded removes the endpoint. Logged once, because the writer may write
+/// it again at each heartbeat.
 void StoreFollower::State::dropUnreadable(const KindObject &object, const Error &error)
 {
     const EndpointId id(object.m_name);
@@ -418,36 +425,36 @@
         .write();
 }
 
-/// Once for all entries that come together: there may be thousands.
-void StoreFollower::State::forgetOldStarts()
+/// Called once for all entries that arrive together, as there may be thousands.
+void StoreFollower::State::forgetOldProcesses()
 {
     const TimePoint now = Clock::now();
-    std::erase_if(m_starts, [now](const auto &entry) {
-        return now - entry.second.m_seen > ForgetStartsAfter;
+    std::erase_if(m_processStarts, [now](const auto &entry) {
+        return now - entry.second.m_seen > ForgetProcessesAfter;
     });
-    std::erase_if(m_left,
-                  [now](const auto &entry) { return now - entry.second > ForgetStartsAfter; });
+    std::erase_if(m_departed,
+                  [now](const auto &entry) { return now - entry.second > ForgetProcessesAfter; });
 }
 
-/// Remembers which endpoints of @p before are gone.
-void StoreFollower::State::noteLeft(const EndpointMap &before)
+/// Records which endpoints of @p before were removed.
+void StoreFollower::State::noteDepartures(const EndpointMap &before)
 {
     for (const auto &[id, endpoint] : before) {
         if (m_directory.m_endpoints.count(id) == 0)
-            m_left[id] = Clock::now();
+            m_departed[id] = Clock::now();
     }
 }
 
-/// Whether a listed entry may be older than what is known of its endpoint: it is used again once
-/// the endpoint has written itself, or when the copy's time is over.
-bool StoreFollower::State::isFromCopy(const KindObject &object)
+/// Whether a listed entry may be older than the known state of its endpoint. Such entries are
+/// ignored until the endpoint writes its entry again or the restore grace time ends.
+bool StoreFollower::State::isStaleAfterRestore(const KindObject &object)
 {
-    if (Clock::now() >= m_copyReadUntil)
+    if (Clock::now() >= m_restoreGraceUntil)
         return false;
     const EndpointId id(object.m_name);
     const auto known = m_directory.m_endpoints.find(id);
     const bool leaves = known != m_directory.m_endpoints.end() && known->second.m_draining;
-    if (!leaves && m_left.count(id) == 0)
+    if (!leaves && m_departed.count(id) == 0)
         return false;
     const auto listed = m_source.m_decodeEndpoint(object);
     if (!listed || listed->m_draining)
@@ -456,22 +463,22 @@
     return true;
 }
 
-/// Lists once more: what stands there now is true.
-void StoreFollower::State::endCopyDoubt()
+/// Lists again once the grace time has ended, when the entries are current.
+void StoreFollower::State::endRestoreGrace()
 {
-    if (m_copyReadUntil == TimePoint{} || Clock::now() < m_copyReadUntil)
+    if (m_restoreGraceUntil == TimePoint{} || Clock::now() < m_restoreGraceUntil)
         return;
-    m_copyReadUntil = {};
-    m_left.clear();
+    m_restoreGraceUntil = {};
+    m_departed.clear();
     if (m_watching)
         startWatches();
 }
 
-/// Whether @p endpoint was written by a process that a later one under its id has replaced. Notes
-/// the start of a later one.
+/// Whether @p endpoint was written by a process that a later one with its id has replaced. Records
+/// the start time of a later one.
 bool StoreFollower::State::isFromEarlierProcess(const EndpointRecord &endpoint)
 {
-    Start &start = m_starts[endpoint.m_id];
+    ProcessStart &start = m_processStarts[endpoint.m_id];
     start.m_seen = Clock::now();
     if (endpoint.m_startedMs < start.m_startedMs) {
         DecisionLine("store", "entry of an earlier process ignored")
@@ -490,47 +497,48 @@
     m_directory.m_unreadable.erase(endpoint);
     if (m_directory.m_endpoints.count(endpoint) == 0)
         return;
-    if (inReturnGrace(Clock::now())) {
+    if (inRecoveryGrace(Clock::now())) {
         if (m_directory.m_doubtful.insert(endpoint).second)
             DecisionLine("store", "endpoint in doubt").text("endpoint", endpoint.str()).write();
         return;
     }
     m_directory.m_endpoints.erase(endpoint);
     m_directory.m_doubtful.erase(endpoint);
-    m_left[endpoint] = Clock::now();
+    m_departed[endpoint] = Clock::now();
     DecisionLine("store", "endpoint gone").text("endpoint", endpoint.str()).write();
 }
 
-/// Gives each doubtful endpoint its time to come back.
-void StoreFollower::State::noteDoubts()
+/// Sets the removal time of each unconfirmed endpoint.
+void StoreFollower::State::scheduleRemovals()
 {
     const TimePoint now = Clock::now();
-    const TimePoint due = inReturnGrace(now) ? m_returnedAt + ReturnGrace : now + ReturnGrace;
-    std::erase_if(m_removals, [this](const auto &entry) {
+    const TimePoint due =
+        inRecoveryGrace(now) ? m_recoveredAt + RecoveryGrace : now + RecoveryGrace;
+    std::erase_if(m_pendingRemovals, [this](const auto &entry) {
         return m_directory.m_doubtful.count(entry.first) == 0;
     });
     for (const EndpointId &endpoint : m_directory.m_doubtful)
-        m_removals.emplace(endpoint, due);
+        m_pendingRemovals.emplace(endpoint, due);
 }
 
-void StoreFollower::State::endDoubts()
+void StoreFollower::State::expireUnconfirmed()
 {
     const TimePoint now = Clock::now();
     bool changed = false;
-    for (const auto &[endpoint, due] : m_removals) {
+    for (const auto &[endpoint, due] : m_pendingRemovals) {
         if (due > now)
             continue;
         changed = true;
         m_directory.m_doubtful.erase(endpoint);
         m_directory.m_endpoints.erase(endpoint);
-        m_left[endpoint] = now;
+        m_departed[endpoint] = now;
         DecisionLine("store", "endpoint gone")
             .text("endpoint", endpoint.str())
             .flag("doubtful", true)
             .write();
     }
-    // Who has followed the store for the whole time misses nothing.
-    const bool followed = m_watching && m_failingSince == TimePoint{} && !inReturnGrace(now);
+    // A VM that has watched the store for the whole time has a complete directory.
+    const bool followed = m_watching && m_failingSince == TimePoint{} && !inRecoveryGrace(now);
     if (!m_directory.m_whole && m_directory.m_position.known() && followed) {
         m_directory.m_whole = true;
         changed = true;
@@ -543,8 +551,8 @@
 {
     m_directory.m_position = std::max(m_directory.m_position, position);
     noteSure(m_directory);
-    noteDoubts();
-    m_hooks.m_directory(std::make_shared<const EndpointDirectory>(m_directory));
+    scheduleRemovals();
+    m_hooks.m_onDirectory(std::make_shared<const EndpointDirectory>(m_directory));
 }
 
 bool StoreFollower::State::listEndpoints(StorePosition &position)
@@ -552,17 +560,17 @@
     const auto page = m_store.list(m_source.m_endpointsKind);
     if (!page)
         return false;
-    noteAlive();
+    noteAnswer();
     if (!m_directory.m_position.known()) {
-        m_returnedAt = Clock::now();
+        m_recoveredAt = Clock::now();
         m_directory.m_whole = false;
     }
-    forgetOldStarts();
+    forgetOldProcesses();
     std::unordered_set<EndpointId> listed;
     for (const KindObject &object : page->m_objects) {
         listed.insert(EndpointId(object.m_name));
-        if (!isFromCopy(object))
-            takeEndpoint(object);
+        if (!isStaleAfterRestore(object))
+            applyEndpoint(object);
     }
     std::vector<EndpointId> missing;
     for (const auto &[id, endpoint] : m_directory.m_endpoints) {
@@ -576,14 +584,14 @@
     return true;
 }
 
-void StoreFollower::State::takeEndpointEvents(const KindEvents &events)
+void StoreFollower::State::applyEndpointEvents(const KindEvents &events)
 {
-    forgetOldStarts();
+    forgetOldProcesses();
     for (const KindEvent &event : events.m_events) {
         if (event.m_removed)
             removeEndpoint(EndpointId(event.m_object.m_name));
         else
-            takeEndpoint(event.m_object);
+            applyEndpoint(event.m_object);
     }
     if (!events.m_events.empty())
         publishDirectory(events.m_position);
@@ -599,43 +607,43 @@
 void StoreFollower::start()
 {
     m_state->m_startedAt = m_state->m_lastAnswer = Clock::now();
-    spawnFiber([state = m_state] { state->followDuty(); });
+    spawnFiber([state = m_state] { state->followWatcherRole(); });
     spawnFiber([state = m_state] { state->proveRoutes(); });
 }
 
-void StoreFollower::offerRoutes(const std::string &spec)
+void StoreFollower::mergePeerRoutes(const std::string &spec)
 {
-    m_state->takeRoutes(spec);
+    m_state->applyRoutes(spec);
 }
 
-void StoreFollower::offerDirectory(const EndpointDirectory &directory)
+void StoreFollower::mergePeerDirectory(const EndpointDirectory &directory)
 {
     const EndpointMap before = m_state->m_directory.m_endpoints;
     if (!joinDirectory(m_state->m_directory, directory))
         return;
-    logTaken(before, m_state->m_directory);
-    m_state->noteLeft(before);
+    logMerge(before, m_state->m_directory);
+    m_state->noteDepartures(before);
     m_state->publishDirectory(m_state->m_directory.m_position);
 }
 
 void StoreFollower::noteProofGap(Duration gap)
 {
     if (gap > OutageGap)
-        m_state->m_returnedAt = Clock::now();
+        m_state->m_recoveredAt = Clock::now();
 }
 
-void StoreFollower::noteReturn()
+void StoreFollower::noteStoreRestored()
 {
-    m_state->m_returnedAt = Clock::now();
-    m_state->m_copyReadUntil = m_state->m_returnedAt + CopyDoubt;
+    m_state->m_recoveredAt = Clock::now();
+    m_state->m_restoreGraceUntil = m_state->m_recoveredAt + RestoreGrace;
     if (m_state->m_watching)
         m_state->startWatches();
 }
 
 bool StoreFollower::reachesStore() const
 {
-    return m_state->m_unableAt == TimePoint{}
-           || Clock::now() - m_state->m_unableAt > UnableAfterFailure;
+    return m_state->m_unreachableAt == TimePoint{}
+           || Clock::now() - m_state->m_unreachableAt > UnreachableAfterFailure;
 }
 
 } // namespace stackquay
--- a/relay/store_follower.h
+++ b/relay/store_follower.h
@@ -1,8 +1,9 @@
-/// Follows the declared routes and the endpoints in the platform's store, for the control thread.
+/// Keeps the declared routes and the endpoints up to date with the platform's store, for the
+/// control thread.
 ///
-/// VMs on duty watch the store; the others hear of changes from them, and read only if they hear
-/// nothing. That nothing has changed is proved by reading the object of the routes: a watch that
-/// stays silent proves nothing. A VM whose peers hold a young proof does not read.
+/// Store watchers watch the store; the other VMs receive changes from them, and read the store only
+/// if they receive nothing. A read of the routes object proves that the routes are current, which a
+/// silent watch does not. A VM does not read if its peers have a recent proof.
 #pragma once
 
 #include <functional>
@@ -14,16 +15,16 @@
 namespace stackquay {
 
 struct FollowerHooks {
-    /// Another version of the routes, or a later proof of the same.
-    std::function<void(const RouteTablePtr &routes, const std::string &spec)> m_routes;
-    std::function<void(const FreshnessProof &proof)> m_proof;
-    std::function<void(const EndpointDirectoryPtr &directory)> m_directory;
-    /// The best proof that is known, of this VM or its peers.
+    /// Called with each new version of the routes; @p spec is its encoded form.
+    std::function<void(const RouteTablePtr &routes, const std::string &spec)> m_onRoutes;
+    std::function<void(const FreshnessProof &proof)> m_onProof;
+    std::function<void(const EndpointDirectoryPtr &directory)> m_onDirectory;
+    /// Returns the latest known proof, of this VM or its peers.
     std::function<FreshnessProof()> m_bestProof;
-    /// Whether this VM is to follow the store for others, or has no others.
-    std::function<bool()> m_onDuty;
-    /// This VM was frozen or suspended until now.
-    std::function<void()> m_stoodStill;
+    /// Returns whether this VM watches the store for others, or has no peers.
+    std::function<bool()> m_watchesStore;
+    /// Called after this VM was frozen or suspended.
+    std::function<void()> m_onSuspension;
 };
 
 class StoreFollower
@@ -38,17 +39,17 @@
 
     /// Starts the fibers. On the thread.
     void start();
-    /// Takes routes that a peer has. Ignored unless their version is higher. On the thread.
-    void offerRoutes(const std::string &spec);
-    /// Takes what a peer's directory tells better. On the thread.
-    void offerDirectory(const EndpointDirectory &directory);
-    /// The best proof is so much later than the one before: a long gap is an outage of the store,
-    /// or of this VM's ways to all others. On the thread.
+    /// Applies a peer's routes. Ignored unless their version is higher. On the thread.
+    void mergePeerRoutes(const std::string &spec);
+    /// Merges what a peer's directory has newer or confirmed. On the thread.
+    void mergePeerDirectory(const EndpointDirectory &directory);
+    /// To be called when the latest proof is newer by @p gap than the one before: a long gap means
+    /// an outage of the store, or of this VM's connections to all others. On the thread.
     void noteProofGap(Duration gap);
-    /// The store came back from a copy: follows it anew, and doubts for a while what it lacks. On
-    /// the thread.
-    void noteReturn();
-    /// Whether no call failed for some seconds. On the thread.
+    /// To be called after the store was restored from a backup: watches it anew, and for a while
+    /// does not remove the endpoints missing from it. On the thread.
+    void noteStoreRestored();
+    /// Whether the store has answered recent calls. On the thread.
     bool reachesStore() const;
 
 private:
--- a/relay/suspect_watch.cpp
+++ b/relay/suspect_watch.cpp
@@ -9,23 +9,27 @@
 
 namespace {
 
-/// Datagrams are lost: what condemns is told so often again, within the time in which a request
-/// must be known everywhere. Other news say all ends so far, so that later ones make up for a loss.
-constexpr std::array<Millis, 2> RepeatAfter{ Millis(150), Millis(450) };
-/// A process that ends may close its connections some time before it stops to listen, as engines do
-/// that write a dump. The later look is well within the time in which the end must be known.
-constexpr std::array<Millis, 2> CheckAgainAfter{ Millis(20), Millis(150) };
-/// Suspects of one end wait up to this long before they go on, each for itself, so that they hear
-/// where the others go.
-constexpr Millis LeastSpread{ 5 };
-constexpr Millis MostSpread{ 35 };
-/// Suspects in one datagram, which no network splits, and in all that a new VM is told.
-constexpr size_t SuspectsTogether = 8;
-constexpr size_t MostSuspectsTold = 64;
-/// Of engines, those with the least work on which a suspect may run alone.
-constexpr size_t QuietShare = 4;
-
-std::vector<EndpointRecord> quietest(std::vector<EndpointRecord> pool, const EndpointUses &uses)
+/// Datagrams may be lost: the report that leads to a quarantine is sent again after these delays,
+/// within the time in which all VMs must know it. Other reports contain all exits so far, so that
+/// later ones make up for a lost one.
+constexpr std::array<Millis, 2> RepeatDelays{ Millis(150), Millis(450) };
+/// A crashing process may close its connections before its listening socket, for example while an
+/// engine writes a core dump. The later check is well within the time in which the exit must be
+/// known.
+constexpr std::array<Millis, 2> RecheckDelays{ Millis(20), Millis(150) };
+/// The suspects of one exit each wait for a random time in this range before they are sent again,
+/// so that they receive each other's placements.
+constexpr Millis MinResendDelay{ 5 };
+constexpr Millis MaxResendDelay{ 35 };
+/// Suspects in one datagram, which must fit into a packet, and in all that is sent to a new VM.
+constexpr size_t SuspectsPerDatagram = 8;
+constexpr size_t MaxSuspectsSent = 64;
+/// A suspect that runs alone is placed on one of the least loaded engines, which are the pool's
+/// size divided by this.
+constexpr size_t LeastLoadedDivisor = 4;
+
+std::vector<EndpointRecord> leastLoadedPart(std::vector<EndpointRecord> pool,
+                                            const EndpointUses &uses)
 {
     const auto attempts = [&uses](const EndpointRecord &endpoint) {
         const auto use = uses.find(endpoint.m_id);
@@ -35,39 +39,39 @@
                      [&](const EndpointRecord &left, const EndpointRecord &right) {
                          return attempts(left) < attempts(right);
                      });
-    pool.resize((pool.size() + QuietShare - 1) / QuietShare);
+    pool.resize((pool.size() + LeastLoadedDivisor - 1) / LeastLoadedDivisor);
     return pool;
 }
 
 } // namespace
 
-struct SuspectWatch::State : std::enable_shared_from_this<SuspectWatch::State> {
+struct SuspectTracker::State : std::enable_shared_from_this<SuspectTracker::State> {
     State(FiberThread &thread, SuspectHooks hooks)
         : m_thread(thread)
         , m_hooks(std::move(hooks))
-        , m_check(thread)
+        , m_exitProbe(thread)
         , m_random(std::random_device{}())
     { }
 
     FiberThread &m_thread;
     SuspectHooks m_hooks;
-    EndCheck m_check;
+    ExitProbe m_exitProbe;
     RandomEngine m_random;
     SuspectTable m_table;
 
-    void noteEnd(const Fingerprint &print, const EndpointRecord &endpoint);
-    void spread();
-    void checkAgain(const std::vector<EndpointRecord> &endpoints, const Fingerprint &print);
-    bool noteIfEnded(const std::vector<EndpointRecord> &endpoints, const Fingerprint &print);
-    void tell(LoadMessage message);
-    void tellAgain(const LoadMessage &message);
-    void pass(const LoadMessage &message);
+    void noteExit(const Fingerprint &print, const EndpointRecord &endpoint);
+    void delayResend();
+    void recheck(const std::vector<EndpointRecord> &endpoints, const Fingerprint &print);
+    bool noteIfExited(const std::vector<EndpointRecord> &endpoints, const Fingerprint &print);
+    void broadcast(LoadMessage message);
+    void rebroadcast(const LoadMessage &message);
+    void forward(const LoadMessage &message);
     void logChange(const Fingerprint &print, SuspectChange change);
-    void reportCondemned(bool seen);
-    bool take(const std::vector<SuspectNews> &news);
+    void reportQuarantined(bool seen);
+    bool merge(const std::vector<SuspectNews> &news);
 };
 
-void SuspectWatch::State::logChange(const Fingerprint &print, SuspectChange change)
+void SuspectTracker::State::logChange(const Fingerprint &print, SuspectChange change)
 {
     const auto suspect = m_table.m_suspects.find(print);
     if (suspect == m_table.m_suspects.end())
@@ -81,15 +85,15 @@
         .write();
 }
 
-void SuspectWatch::State::reportCondemned(bool seen)
+void SuspectTracker::State::reportQuarantined(bool seen)
 {
-    std::vector<SuspectNews> condemned = newsOf(m_table, MostSuspectsTold, Clock::now());
-    std::erase_if(condemned,
+    std::vector<SuspectNews> quarantined = newsOf(m_table, MaxSuspectsSent, Clock::now());
+    std::erase_if(quarantined,
                   [this](const SuspectNews &news) { return !isCondemned(m_table, news); });
-    m_hooks.m_condemned(condemned, seen);
+    m_hooks.m_quarantined(quarantined, seen);
 }
 
-void SuspectWatch::State::noteEnd(const Fingerprint &print, const EndpointRecord &endpoint)
+void SuspectTracker::State::noteExit(const Fingerprint &print, const EndpointRecord &endpoint)
 {
     const TimePoint now = Clock::now();
     DecisionLine("relay", "endpoint process ended")
@@ -106,153 +110,153 @@
     const Suspect &suspect = m_table.m_suspects[print];
     LoadMessage message{ LoadChange::Suspected };
     message.m_suspects = { { print, suspect.m_ends, suspect.m_trials, 0 } };
-    tell(message);
+    broadcast(message);
     if (change != SuspectChange::Condemned)
         return;
-    tellAgain(message);
-    reportCondemned(true);
+    rebroadcast(message);
+    reportQuarantined(true);
 }
 
-void SuspectWatch::State::tell(LoadMessage message)
+void SuspectTracker::State::broadcast(LoadMessage message)
 {
     message.m_cell = m_hooks.m_cell().m_cell;
-    m_hooks.m_tellCell(message);
-    m_hooks.m_tellOtherCells(message);
+    m_hooks.m_sendToCell(message);
+    m_hooks.m_sendToOtherCells(message);
 }
 
-void SuspectWatch::State::tellAgain(const LoadMessage &message)
+void SuspectTracker::State::rebroadcast(const LoadMessage &message)
 {
     spawnFiber([self = shared_from_this(), message] {
-        for (const Millis after : RepeatAfter) {
+        for (const Millis after : RepeatDelays) {
             if (!sleepFor(self->m_thread.context(), after))
                 return;
-            self->tell(message);
+            self->broadcast(message);
         }
     });
 }
 
-/// News of another cell go to this one, and news of this cell to the others.
-void SuspectWatch::State::pass(const LoadMessage &message)
+/// Reports from another cell go to this cell, and reports from this cell to the other cells.
+void SuspectTracker::State::forward(const LoadMessage &message)
 {
     const uint32_t own = m_hooks.m_cell().m_cell;
     if (message.m_cell == own) {
-        if (m_hooks.m_onDuty())
-            m_hooks.m_tellOtherCells(message);
+        if (m_hooks.m_watchesStore())
+            m_hooks.m_sendToOtherCells(message);
         return;
     }
-    LoadMessage passed = message;
-    passed.m_cell = own;
-    m_hooks.m_tellCell(passed);
+    LoadMessage forwarded = message;
+    forwarded.m_cell = own;
+    m_hooks.m_sendToCell(forwarded);
 }
 
-bool SuspectWatch::State::take(const std::vector<SuspectNews> &news)
+bool SuspectTracker::State::merge(const std::vector<SuspectNews> &news)
 {
     bool changed = false;
-    bool condemned = false;
+    bool quarantined = false;
     for (const SuspectNews &one : news) {
         const SuspectChange change = joinNews(m_table, one, Clock::now());
         if (change == SuspectChange::None)
             continue;
         changed = true;
-        condemned = condemned || change == SuspectChange::Condemned;
+        quarantined = quarantined || change == SuspectChange::Condemned;
         logChange(one.m_print, change);
     }
-    if (condemned)
-        reportCondemned(false);
+    if (quarantined)
+        reportQuarantined(false);
     return changed;
 }
 
-bool SuspectWatch::State::noteIfEnded(const std::vector<EndpointRecord> &endpoints,
-                                      const Fingerprint &print)
+bool SuspectTracker::State::noteIfExited(const std::vector<EndpointRecord> &endpoints,
+                                         const Fingerprint &print)
 {
     for (const EndpointRecord &endpoint : endpoints) {
-        if (!m_check.hasEnded(endpoint))
+        if (!m_exitProbe.hasExited(endpoint))
             continue;
-        noteEnd(print, endpoint);
+        noteExit(print, endpoint);
         return true;
     }
     return false;
 }
 
-void SuspectWatch::State::checkAgain(const std::vector<EndpointRecord> &endpoints,
-                                     const Fingerprint &print)
+void SuspectTracker::State::recheck(const std::vector<EndpointRecord> &endpoints,
+                                    const Fingerprint &print)
 {
-    for (const Millis after : CheckAgainAfter) {
-        if (!sleepFor(m_thread.context(), after) || noteIfEnded(endpoints, print))
+    for (const Millis after : RecheckDelays) {
+        if (!sleepFor(m_thread.context(), after) || noteIfExited(endpoints, print))
             return;
     }
 }
 
-void SuspectWatch::State::spread()
+void SuspectTracker::State::delayResend()
 {
-    std::uniform_int_distribution<Millis::rep> time(LeastSpread.count(), MostSpread.count());
+    std::uniform_int_distribution<Millis::rep> time(MinResendDelay.count(), MaxResendDelay.count());
     std::ignore = sleepFor(m_thread.context(), Millis(time(m_random)));
 }
 
-SuspectWatch::SuspectWatch(FiberThread &thread, SuspectHooks hooks)
+SuspectTracker::SuspectTracker(FiberThread &thread, SuspectHooks hooks)
     : m_state(std::make_shared<State>(thread, std::move(hooks)))
 { }
 
-SuspectWatch::~SuspectWatch() = default;
+SuspectTracker::~SuspectTracker() = default;
 
-bool SuspectWatch::empty() const
+bool SuspectTracker::empty() const
 {
     return m_state->m_table.empty();
 }
 
-bool SuspectWatch::mayKnow(uint64_t outline) const
+bool SuspectTracker::mayKnow(uint64_t outline) const
 {
     return m_state->m_table.mayKnow(outline);
 }
 
-bool SuspectWatch::noteBroken(const std::vector<EndpointRecord> &endpoints,
-                              const Fingerprint &print)
+bool SuspectTracker::noteBrokenResponse(const std::vector<EndpointRecord> &endpoints,
+                                        const Fingerprint &print)
 {
     const auto state = m_state;
-    if (state->noteIfEnded(endpoints, print)) {
-        state->spread();
+    if (state->noteIfExited(endpoints, print)) {
+        state->delayResend();
         return true;
     }
-    spawnFiber([state, endpoints, print] { state->checkAgain(endpoints, print); });
+    spawnFiber([state, endpoints, print] { state->recheck(endpoints, print); });
     return false;
 }
 
-void SuspectWatch::noteCompleted(const Fingerprint &print)
+void SuspectTracker::noteCompleted(const Fingerprint &print)
 {
     SuspectTable &table = m_state->m_table;
     const auto suspect = table.m_suspects.find(print);
     if (suspect == table.m_suspects.end())
         return;
     LoadMessage message{ LoadChange::Cleared };
-    message.m_prints = { print };
+    message.m_fingerprints = { print };
     message.m_suspects = { { print, suspect->second.m_ends, 0, 0 } };
     noteCleared(table, print, {}, Clock::now());
     DecisionLine("relay", "request cleared").text("print", toString(print)).write();
-    m_state->tell(std::move(message));
+    m_state->broadcast(std::move(message));
 }
 
-SuspectVerdict SuspectWatch::judge(const Fingerprint &print, const LoadKey &own) const
+SuspectVerdict SuspectTracker::judge(const Fingerprint &print, const LoadKey &own) const
 {
     return stackquay::judge(m_state->m_table, print, own, Clock::now());
 }
 
-void SuspectWatch::beginTry(const Fingerprint &print, const LoadKey &key, Duration lifetime,
-                            bool own)
+void SuspectTracker::beginTry(const Fingerprint &print, const LoadKey &key, Duration lifetime,
+                              bool own)
 {
     const TimePoint now = Clock::now();
     stackquay::beginTry(m_state->m_table, print, key, now + lifetime, now);
     const auto attempt = m_state->m_table.m_tries.find(key);
-    // The fleet has to remember how many trials there were, also if all VMs end.
+    // The number of probes must survive an exit of all VMs.
     if (own && attempt != m_state->m_table.m_tries.end() && attempt->second.m_trial)
-        m_state->reportCondemned(true);
+        m_state->reportQuarantined(true);
 }
 
-void SuspectWatch::endTry(const LoadKey &key)
+void SuspectTracker::endTry(const LoadKey &key)
 {
     stackquay::endTry(m_state->m_table, key);
 }
 
-std::optional<Fingerprint> SuspectWatch::tried(const LoadKey &key) const
+std::optional<Fingerprint> SuspectTracker::suspectOf(const LoadKey &key) const
 {
     const auto attempt = m_state->m_table.m_tries.find(key);
     if (attempt == m_state->m_table.m_tries.end())
@@ -260,9 +264,9 @@
     return attempt->second.m_print;
 }
 
-std::vector<EndpointRecord> SuspectWatch::placesFor(SuspectCare care,
-                                                    std::vector<EndpointRecord> pool,
-                                                    StreamLedger &ledger) const
+std::vector<EndpointRecord> SuspectTracker::eligibleEndpoints(SuspectCare care,
+                                                              std::vector<EndpointRecord> pool,
+                                                              StreamLedger &ledger) const
 {
     if (care == SuspectCare::None && m_state->m_table.m_tries.empty())
         return pool;
@@ -271,8 +275,8 @@
         const auto load = ledger.loads().find(key);
         if (load == ledger.loads().end() || load->second.m_parts.empty())
             continue;
-        const SuspectCare theirs = placementOf(m_state->m_table, attempt.m_print);
-        if (care != SuspectCare::None || theirs == SuspectCare::Alone)
+        const SuspectCare other = placementOf(m_state->m_table, attempt.m_print);
+        if (care != SuspectCare::None || other == SuspectCare::Alone)
             taken.insert(load->second.m_parts.front().m_endpoint);
     }
     std::vector<EndpointRecord> free;
@@ -284,37 +288,37 @@
         return pool;
     if (care != SuspectCare::Alone)
         return free;
-    return quietest(std::move(free), ledger.uses(Clock::now()));
+    return leastLoadedPart(std::move(free), ledger.uses(Clock::now()));
 }
 
-void SuspectWatch::receive(const LoadMessage &message)
+void SuspectTracker::receive(const LoadMessage &message)
 {
     if (message.m_change == LoadChange::Suspected) {
-        if (m_state->take(message.m_suspects))
-            m_state->pass(message);
+        if (m_state->merge(message.m_suspects))
+            m_state->forward(message);
         return;
     }
     bool cleared = false;
     for (const SuspectNews &news : message.m_suspects)
         cleared = noteCleared(m_state->m_table, news.m_print, news.m_ends, Clock::now()) || cleared;
-    // A VM of an earlier version tells no ends.
-    for (const Fingerprint &print : message.m_prints)
+    // VMs of an earlier version send no process exits.
+    for (const Fingerprint &print : message.m_fingerprints)
         cleared = noteCleared(m_state->m_table, print, {}, Clock::now()) || cleared;
     if (cleared)
-        m_state->pass(message);
+        m_state->forward(message);
 }
 
-void SuspectWatch::join(const std::vector<SuspectNews> &news)
+void SuspectTracker::merge(const std::vector<SuspectNews> &news)
 {
-    m_state->take(news);
+    m_state->merge(news);
 }
 
-std::vector<LoadMessage> SuspectWatch::all() const
+std::vector<LoadMessage> SuspectTracker::allSuspects() const
 {
     std::vector<LoadMessage> messages;
-    const auto news = newsOf(m_state->m_table, MostSuspectsTold, Clock::now());
-    for (size_t i = 0; i < news.size(); i += SuspectsTogether) {
-        const size_t end = std::min(i + SuspectsTogether, news.size());
+    const auto news = newsOf(m_state->m_table, MaxSuspectsSent, Clock::now());
+    for (size_t i = 0; i < news.size(); i += SuspectsPerDatagram) {
+        const size_t end = std::min(i + SuspectsPerDatagram, news.size());
         LoadMessage message{ LoadChange::Suspected };
         message.m_suspects.assign(news.begin() + static_cast<ptrdiff_t>(i),
                                   news.begin() + static_cast<ptrdiff_t>(end));
--- a/relay/suspect_watch.h
+++ b/relay/suspect_watch.h
@@ -1,9 +1,10 @@
-/// Finds out which requests end the endpoints that run them, and tells all VMs.
+/// Finds the requests that crash the endpoints which run them, and reports them to all VMs.
 ///
-/// An end is told at once to the VMs of the cell, and by those that saw it and those on duty to
-/// some VMs of each other cell, which tell theirs: 1 datagram to each VM of the cell and 2 to each
-/// other cell for an end, and nothing while no endpoint ends. A VM that is new hears all suspects
-/// with what is in flight. What is condemned also stands in the store (relay/condemned_record.h).
+/// A process exit under a request is reported immediately to the VMs of the cell. The VM that
+/// observed it and the store watchers also report it to some VMs of each other cell, which forward
+/// it within theirs: 1 datagram to each VM of the cell and 2 to each other cell for an exit, and no
+/// traffic while no endpoint exits. A new VM receives all suspects together with the requests in
+/// flight. Quarantined requests are also kept in the store (relay/condemned_record.h).
 #pragma once
 
 #include <functional>
@@ -14,51 +15,56 @@
 
 namespace stackquay {
 
-/// How the other VMs are reached.
+/// Connections to the other VMs and to the daemon.
 struct SuspectHooks {
     std::function<CellView()> m_cell;
-    std::function<bool()> m_onDuty; ///< Whether it passes news of the cell on to others.
-    std::function<void(const LoadMessage &message)> m_tellCell;
-    std::function<void(const LoadMessage &message)> m_tellOtherCells;
-    /// What is condemned changed; @p seen: this VM itself saw the end that condemned.
-    std::function<void(const std::vector<SuspectNews> &condemned, bool seen)> m_condemned;
+    /// Returns whether this VM forwards updates of its cell to other cells.
+    std::function<bool()> m_watchesStore;
+    std::function<void(const LoadMessage &message)> m_sendToCell;
+    std::function<void(const LoadMessage &message)> m_sendToOtherCells;
+    /// Called when the set of quarantined requests changed; @p seen: this VM itself observed the
+    /// exit that led to it.
+    std::function<void(const std::vector<SuspectNews> &quarantined, bool seen)> m_quarantined;
 };
 
 /// Used on the traffic thread only.
-class SuspectWatch
+class SuspectTracker
 {
 public:
-    /// @p thread must be stopped before this is destroyed.
-    SuspectWatch(FiberThread &thread, SuspectHooks hooks);
-    ~SuspectWatch();
-    SuspectWatch(const SuspectWatch &) = delete;
-    SuspectWatch &operator=(const SuspectWatch &) = delete;
+    /// @p thread must be stopped before this object is destroyed.
+    SuspectTracker(FiberThread &thread, SuspectHooks hooks);
+    ~SuspectTracker();
+    SuspectTracker(const SuspectTracker &) = delete;
+    SuspectTracker &operator=(const SuspectTracker &) = delete;
 
     bool empty() const;
-    /// Whether a request of this outline may be a suspect; else it needs no name.
+    /// Whether a request with this outline may be a suspect; otherwise its fingerprint is not
+    /// needed.
     bool mayKnow(uint64_t outline) const;
-    /// The answer of @p endpoints to the request broke off. Returns whether the process of one of
-    /// them has ended, which makes the request a suspect. Blocks the fiber for a connection's time,
-    /// and after an end for some ms more, so that suspects of one end see each other's places.
-    bool noteBroken(const std::vector<EndpointRecord> &endpoints, const Fingerprint &print);
-    /// The request was answered whole.
+    /// To be called when the response of @p endpoints to the request broke off. Returns whether the
+    /// process of one of them has exited, which makes the request a suspect. Blocks the fiber for a
+    /// connection attempt, and after an exit for some milliseconds more, so that the suspects of
+    /// one exit see each other's placements.
+    bool noteBrokenResponse(const std::vector<EndpointRecord> &endpoints, const Fingerprint &print);
+    /// To be called when the request received a whole successful response.
     void noteCompleted(const Fingerprint &print);
-    /// Of a try under the name @p own.
+    /// Decides how an attempt with the key @p own may run.
     SuspectVerdict judge(const Fingerprint &print, const LoadKey &own) const;
-    /// @p own: it is this VM's.
+    /// Records an attempt of a suspect; @p own: it is an attempt of this VM.
     void beginTry(const Fingerprint &print, const LoadKey &key, Duration lifetime, bool own);
     void endTry(const LoadKey &key);
-    /// The suspect whose try in flight this is, if it is one.
-    std::optional<Fingerprint> tried(const LoadKey &key) const;
-    /// Those of @p pool where a try with this care may go; all of them, if none may. Others stay
-    /// off engines where a suspect runs alone.
-    std::vector<EndpointRecord> placesFor(SuspectCare care, std::vector<EndpointRecord> pool,
-                                          StreamLedger &ledger) const;
+    /// The suspect that the attempt in flight belongs to; nothing if it belongs to none.
+    std::optional<Fingerprint> suspectOf(const LoadKey &key) const;
+    /// The endpoints of @p pool on which an attempt with this care may run; all of them if there
+    /// are none. Other requests are kept off engines on which a suspect runs alone.
+    std::vector<EndpointRecord> eligibleEndpoints(SuspectCare care,
+                                                  std::vector<EndpointRecord> pool,
+                                                  StreamLedger &ledger) const;
     void receive(const LoadMessage &message);
-    /// Takes what another VM, or one that is gone, had condemned.
-    void join(const std::vector<SuspectNews> &news);
-    /// What a VM that is new here has to know.
-    std::vector<LoadMessage> all() const;
+    /// Merges suspects reported by another VM or read from the store.
+    void merge(const std::vector<SuspectNews> &news);
+    /// All suspects, as messages for a new VM.
+    std::vector<LoadMessage> allSuspects() const;
 
 private:
     struct State;
--- a/tests/relay/condemned_record_test.cpp
+++ b/tests/relay/condemned_record_test.cpp
@@ -8,9 +8,9 @@
 const WallTime Now{ Seconds(1'700'000'000) };
 const SuspectNews First{ { 1, 2, 3 }, { 10, 11, 12 }, 0, 500 };
 
-TEST(CondemnedRecordTest, WhatIsWrittenIsReadAndGrowsOlder)
+TEST(QuarantineRecordTest, WhatIsWrittenIsReadAndGrowsOlder)
 {
-    const auto read = readCondemned(writeCondemned({ First }, Now), Now + Seconds(7));
+    const auto read = decodeQuarantined(encodeQuarantined({ First }, Now), Now + Seconds(7));
     ASSERT_TRUE(read);
     ASSERT_EQ(read->size(), 1u);
     EXPECT_EQ(read->front().m_print, First.m_print);
@@ -18,14 +18,14 @@
     EXPECT_EQ(read->front().m_ageMs, 7'500u);
 }
 
-TEST(CondemnedRecordTest, ClockThatIsBehindMakesNothingYoungerThanNow)
+TEST(QuarantineRecordTest, ClockThatIsBehindMakesNothingYoungerThanNow)
 {
-    const auto read = readCondemned(writeCondemned({ First }, Now), Now - Seconds(7));
+    const auto read = decodeQuarantined(encodeQuarantined({ First }, Now), Now - Seconds(7));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->front().m_ageMs, 0u);
 }
 
-TEST(CondemnedRecordTest, ContentThatCannotBeReadIsSaid)
+TEST(QuarantineRecordTest, ContentThatCannotBeReadIsSaid)
 {
     const std::string entry =
         R"({"print":"000000000000000100000000000000020000000000000003","ends":[1],)";
@@ -33,31 +33,31 @@
              "", "[]", "{}", R"({"condemned":3})", R"({"condemned":[3]})", R"({"condemned":[{}]})",
              R"({"condemned":[)" + entry + R"("trials":-1,"at_ms":5}]})",
              R"({"condemned":[)" + entry + R"("trials":1,"at_ms":"5"}]})" }) {
-        const auto read = readCondemned(spec, Now);
+        const auto read = decodeQuarantined(spec, Now);
         ASSERT_FALSE(read) << spec;
         EXPECT_FALSE(read.error().m_message.empty());
     }
-    EXPECT_TRUE(readCondemned(R"({"condemned":[)" + entry + R"("trials":1,"at_ms":5}]})", Now));
+    EXPECT_TRUE(decodeQuarantined(R"({"condemned":[)" + entry + R"("trials":1,"at_ms":5}]})", Now));
 }
 
-TEST(CondemnedRecordTest, JoinedTheHigherCountsStay)
+TEST(QuarantineRecordTest, JoinedTheHigherCountsStay)
 {
     SuspectNews later = First;
     later.m_trials = 1;
-    EXPECT_EQ(joinCondemned({ First }, { later }).front().m_trials, 1u);
-    EXPECT_EQ(joinCondemned({ later }, { First }).front().m_trials, 1u);
-    EXPECT_EQ(joinCondemned({ First }, { later }).size(), 1u);
+    EXPECT_EQ(mergeQuarantined({ First }, { later }).front().m_trials, 1u);
+    EXPECT_EQ(mergeQuarantined({ later }, { First }).front().m_trials, 1u);
+    EXPECT_EQ(mergeQuarantined({ First }, { later }).size(), 1u);
 }
 
-TEST(CondemnedRecordTest, OnlyTheLatestAreKept)
+TEST(QuarantineRecordTest, OnlyTheLatestAreKept)
 {
     std::vector<SuspectNews> many;
     for (uint64_t i = 0; i < 200; ++i)
         many.push_back({ { 0, 9, i }, { 1, 2, 3 }, 0, i });
-    const auto joined = joinCondemned({ First }, many);
+    const auto joined = mergeQuarantined({ First }, many);
     EXPECT_EQ(joined.size(), 64u);
     EXPECT_EQ(joined.front().m_ageMs, 0u);
-    EXPECT_LT(writeCondemned(joined, Now).size(), 16'384u);
+    EXPECT_LT(encodeQuarantined(joined, Now).size(), 16'384u);
 }
 
 } // namespace
--- a/tests/relay/suspect_watch_test.cpp
+++ b/tests/relay/suspect_watch_test.cpp
@@ -32,10 +32,10 @@
         : m_random(seed)
     {
         for (size_t vm = 0; vm < Vms; ++vm)
-            m_vms.push_back(std::make_unique<SuspectWatch>(m_thread, hooksOf(vm)));
+            m_vms.push_back(std::make_unique<SuspectTracker>(m_thread, hooksOf(vm)));
     }
 
-    SuspectWatch &vm(size_t index) { return *m_vms[index]; }
+    SuspectTracker &vm(size_t index) { return *m_vms[index]; }
 
     /// As the VM that saw an endpoint's process end.
     void tellEnd(size_t vm, uint64_t process)
@@ -43,7 +43,7 @@
         LoadMessage message{ LoadChange::Suspected };
         message.m_suspects = { { Suspect, { process }, 0, 0 } };
         message.m_cell = cellOf(vm);
-        m_vms[vm]->join(message.m_suspects);
+        m_vms[vm]->merge(message.m_suspects);
         tellCell(vm, message);
         tellContacts(vm, message);
     }
@@ -73,12 +73,12 @@
     {
         SuspectHooks hooks;
         hooks.m_cell = [vm] { return CellView{ cellOf(vm), Cells }; };
-        hooks.m_onDuty = [vm] { return vm % VmsOfACell < OnDutyInACell; };
-        hooks.m_tellCell = [this, vm](const LoadMessage &message) { tellCell(vm, message); };
-        hooks.m_tellOtherCells = [this, vm](const LoadMessage &message) {
+        hooks.m_watchesStore = [vm] { return vm % VmsOfACell < OnDutyInACell; };
+        hooks.m_sendToCell = [this, vm](const LoadMessage &message) { tellCell(vm, message); };
+        hooks.m_sendToOtherCells = [this, vm](const LoadMessage &message) {
             tellContacts(vm, message);
         };
-        hooks.m_condemned = [](const auto &, bool) {};
+        hooks.m_quarantined = [](const auto &, bool) {};
         return hooks;
     }
 
@@ -107,13 +107,13 @@
 
     FiberThread m_thread{ "suspects" };
     std::mt19937_64 m_random;
-    std::vector<std::unique_ptr<SuspectWatch>> m_vms;
+    std::vector<std::unique_ptr<SuspectTracker>> m_vms;
     std::multimap<TimePoint, std::pair<size_t, LoadMessage>> m_inFlight;
     TimePoint m_now{ Seconds(1'000) };
     size_t m_delivered = 0;
 };
 
-TEST(SuspectWatchTest, NewsAndClearingOfASuspectComeToRest)
+TEST(SuspectTrackerTest, NewsAndClearingOfASuspectComeToRest)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         ToldFleet fleet(seed);
@@ -129,19 +129,19 @@
 }
 
 // VMs of two versions serve side by side while one replaces the other.
-TEST(SuspectWatchTest, ClearingWithoutEndsIsUnderstood)
+TEST(SuspectTrackerTest, ClearingWithoutEndsIsUnderstood)
 {
     ToldFleet fleet(1);
     fleet.tellEnd(0, 7);
     fleet.run(Millis(100));
     LoadMessage cleared{ LoadChange::Cleared };
-    cleared.m_prints = { Suspect };
+    cleared.m_fingerprints = { Suspect };
     fleet.vm(3).receive(cleared);
     EXPECT_TRUE(fleet.vm(3).empty());
 }
 
 // What completed may still end engines later: a new end counts as the first one did.
-TEST(SuspectWatchTest, EndAfterTheClearingIsKnownEverywhere)
+TEST(SuspectTrackerTest, EndAfterTheClearingIsKnownEverywhere)
 {
     ToldFleet fleet(1);
     fleet.tellEnd(0, 7);
