--- a/relay/load_exchange.cpp
+++ b/relay/load_exchange.cpp
@@ -83,18 +83,18 @@
 
 Result<Address> LoadExchange::listen(const Address &address)
 {
-    return m_state->m_socket.listen(
-        address, [state = m_state.get()](const Address &from, auto bytes) {
-            const auto messages = decodeMessage<std::vector<LoadMessage>>(bytes);
-            if (messages) {
-                for (const LoadMessage &message : *messages)
-                    state->m_receiver(message);
-                return;
-            }
-            // Only the first one is logged: a faulty sender may send many.
-            if (state->m_malformed++ == 0)
-                log(LogPart::Peers).warn("Load message not understood. from={}", toString(from));
-        });
+    return m_state->m_socket.listen(address, [state = m_state.get()](const Address &from,
+                                                                     auto bytes) {
+        const auto messages = decodeMessage<std::vector<LoadMessage>>(bytes);
+        if (messages) {
+            for (const LoadMessage &message : *messages)
+                state->m_receiver(message);
+            return;
+        }
+        // Only the first one is logged: a faulty sender may send many.
+        if (state->m_malformed++ == 0)
+            log(LogPart::Peers).warn("Load message could not be decoded. from={}", toString(from));
+    });
 }
 
 void LoadExchange::setPeers(const std::vector<Address> &peers)
--- a/relay/relay_metrics.cpp
+++ b/relay/relay_metrics.cpp
@@ -13,11 +13,11 @@
     : m_attempts(
         registry.counter("stackquay_relay_attempts_total", "Attempts that reached an endpoint."))
     , m_repeats(registry.counter("stackquay_relay_repeats_total",
-                                 "Attempts after the first that the retry budget paid for."))
+                                 "Retries that the retry budget allowed."))
     , m_repeatsRefused(registry.counter("stackquay_relay_repeats_refused_total",
-                                        "Attempts that the retry budget did not allow."))
+                                        "Retries that the retry budget refused."))
     , m_ejections(registry.counter("stackquay_relay_ejections_total",
-                                   "Times an endpoint was left out for its failures."))
+                                   "Ejections of endpoints after failures."))
     , m_reservations(registry.counter("stackquay_relay_reservations_total",
                                       "Reservations of memory that engines granted."))
     , m_reservationsRefused(registry.counter("stackquay_relay_reservations_refused_total",
@@ -25,11 +25,12 @@
     , m_processExits(
           registry.counter("stackquay_relay_attempts_ended_with_process_total",
                            "Attempts that broke off because the endpoint's process ended."))
-    , m_quarantined(
-          registry.counter("stackquay_relay_condemned_total",
-                           "Requests that were found to end the endpoints that run them."))
-    , m_blocked(registry.counter("stackquay_relay_barred_total",
-                                 "Requests not sent because endpoints had ended under them."))
+    , m_quarantined(registry.counter(
+          "stackquay_relay_condemned_total",
+          "Requests quarantined because endpoint processes exited while they ran them."))
+    , m_blocked(
+          registry.counter("stackquay_relay_barred_total",
+                           "Requests not sent because endpoint processes had exited under them."))
     , m_registry(registry)
 {
     for (size_t kind = 0; kind < KindCount; ++kind) {
