--- a/tests/relay/condemned_record_test.cpp
+++ b/tests/relay/condemned_record_test.cpp
@@ -8,7 +8,7 @@
 const WallTime Now{ Seconds(1'700'000'000) };
 const SuspectNews First{ { 1, 2, 3 }, { 10, 11, 12 }, 0, 500 };
 
-TEST(QuarantineRecordTest, WhatIsWrittenIsReadAndGrowsOlder)
+TEST(QuarantineRecordTest, DecodesWhatWasEncodedWithItsAge)
 {
     const auto read = decodeQuarantined(encodeQuarantined({ First }, Now), Now + Seconds(7));
     ASSERT_TRUE(read);
@@ -18,14 +18,14 @@
     EXPECT_EQ(read->front().m_ageMs, 7'500u);
 }
 
-TEST(QuarantineRecordTest, ClockThatIsBehindMakesNothingYoungerThanNow)
+TEST(QuarantineRecordTest, AgeIsNotNegativeIfTheClockIsBehind)
 {
     const auto read = decodeQuarantined(encodeQuarantined({ First }, Now), Now - Seconds(7));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->front().m_ageMs, 0u);
 }
 
-TEST(QuarantineRecordTest, ContentThatCannotBeReadIsSaid)
+TEST(QuarantineRecordTest, InvalidContentIsAnError)
 {
     const std::string entry =
         R"({"print":"000000000000000100000000000000020000000000000003","ends":[1],)";
@@ -40,7 +40,7 @@
     EXPECT_TRUE(decodeQuarantined(R"({"condemned":[)" + entry + R"("trials":1,"at_ms":5}]})", Now));
 }
 
-TEST(QuarantineRecordTest, JoinedTheHigherCountsStay)
+TEST(QuarantineRecordTest, MergeKeepsTheHigherCounts)
 {
     SuspectNews later = First;
     later.m_trials = 1;
@@ -49,15 +49,15 @@
     EXPECT_EQ(mergeQuarantined({ First }, { later }).size(), 1u);
 }
 
-TEST(QuarantineRecordTest, OnlyTheLatestAreKept)
+TEST(QuarantineRecordTest, MergeKeepsTheNewestEntries)
 {
     std::vector<SuspectNews> many;
     for (uint64_t i = 0; i < 200; ++i)
         many.push_back({ { 0, 9, i }, { 1, 2, 3 }, 0, i });
-    const auto joined = mergeQuarantined({ First }, many);
-    EXPECT_EQ(joined.size(), 64u);
-    EXPECT_EQ(joined.front().m_ageMs, 0u);
-    EXPECT_LT(encodeQuarantined(joined, Now).size(), 16'384u);
+    const auto merged = mergeQuarantined({ First }, many);
+    EXPECT_EQ(merged.size(), 64u);
+    EXPECT_EQ(merged.front().m_ageMs, 0u);
+    EXPECT_LT(encodeQuarantined(merged, Now).size(), 16'384u);
 }
 
 } // namespace
--- a/tests/relay/event_splitter_test.cpp
+++ b/tests/relay/event_splitter_test.cpp
@@ -5,7 +5,7 @@
 namespace stackquay {
 namespace {
 
-TEST(EventSplitterTest, GivesWholeEventsByteForByteHoweverTheyArrive)
+TEST(EventSplitterTest, KeepsEveryByteForAnyChunkSize)
 {
     const std::string stream = "id: 1\ndata: a\n\ndata: none\n\nid:2\r\ndata: b\r\n\r\n: c\n\n";
     for (size_t step = 1; step <= stream.size(); ++step) {
@@ -28,7 +28,7 @@
     }
 }
 
-TEST(EventSplitterTest, PartOfAnEventIsNotEmpty)
+TEST(EventSplitterTest, IsNotEmptyWithAnIncompleteEvent)
 {
     EventSplitter splitter;
     splitter.feed("id: 1\ndata: a\n");
--- a/tests/relay/load_exchange_test.cpp
+++ b/tests/relay/load_exchange_test.cpp
@@ -7,7 +7,7 @@
 namespace stackquay {
 namespace {
 
-constexpr size_t PacketBytes = 1'200; ///< That no network in use splits.
+constexpr size_t PacketBytes = 1'200; ///< Not fragmented on any network in use.
 
 std::vector<LoadMessage> messages(size_t count, size_t parts)
 {
@@ -38,24 +38,24 @@
     return all;
 }
 
-TEST(LoadExchangeTest, PacksManyMessagesIntoFewDatagramsInTheirOrder)
+TEST(LoadExchangeTest, PacksManyMessagesIntoFewDatagramsInOrder)
 {
     EXPECT_TRUE(packLoads({}).empty());
     const auto datagrams = packLoads(messages(100, 1));
     EXPECT_LE(datagrams.size(), 8u);
-    const std::vector<uint64_t> told = sequences(datagrams);
-    ASSERT_EQ(told.size(), 100u);
-    EXPECT_TRUE(std::is_sorted(told.begin(), told.end()));
+    const std::vector<uint64_t> sent = sequences(datagrams);
+    ASSERT_EQ(sent.size(), 100u);
+    EXPECT_TRUE(std::is_sorted(sent.begin(), sent.end()));
     EXPECT_EQ(sequences(packLoads(messages(20, 17))).size(), 20u);
 }
 
-TEST(LoadExchangeTest, BoundsWhatAPeerIsTold)
+TEST(LoadExchangeTest, LimitsTheDatagramsToOnePeer)
 {
     const auto datagrams = packLoads(messages(2'000, 17));
     EXPECT_EQ(datagrams.size(), 16u);
-    const std::vector<uint64_t> told = sequences(datagrams);
-    EXPECT_GE(told.size(), 30u);
-    EXPECT_EQ(told.back(), told.size() - 1); // The first ones.
+    const std::vector<uint64_t> sent = sequences(datagrams);
+    EXPECT_GE(sent.size(), 30u);
+    EXPECT_EQ(sent.back(), sent.size() - 1); // The messages after the limit are dropped.
 }
 
 } // namespace
--- a/tests/relay/suspect_watch_test.cpp
+++ b/tests/relay/suspect_watch_test.cpp
@@ -1,9 +1,10 @@
-/// News of a suspect and of its clearing went round a fleet of several cells for seconds.
+/// Reports of a suspect and of its clearing must not circulate between cells without end.
 ///
-/// Users' callers had left when their requests were sent on: small VMs had spent their processor on
-/// hundreds of thousands of messages. One request was at the end of one engine, and completed
-/// elsewhere two and a half seconds later. A VM that had cleared it heard the older news from
-/// another cell, took it for new and passed it on, and the clearing followed it, and so round.
+/// The failure: a request ran when an engine crashed, and completed elsewhere two and a half
+/// seconds later. A VM that had cleared the request received the older report from another cell,
+/// took it for new and forwarded it, and the clearing followed it around the fleet. Small VMs spent
+/// their processor time on hundreds of thousands of messages, so that clients had disconnected
+/// before their requests were forwarded.
 #include "relay/suspect_watch.h"
 
 #include <map>
@@ -18,17 +19,17 @@
 constexpr size_t VmsOfACell = 8;
 constexpr size_t Vms = Cells * VmsOfACell;
 constexpr size_t ContactsInACell = 2;
-constexpr size_t OnDutyInACell = 2;
+constexpr size_t WatchersInACell = 2;
 const Fingerprint Suspect{ 1, 1, 2 };
 
-/// Two pieces of news, each passed on once by each VM to its cell and its contacts.
-constexpr size_t MostDelivered = 2 * Vms * (VmsOfACell - 1 + (Cells - 1) * ContactsInACell);
+/// Two reports, each forwarded once by each VM to its cell and its contacts.
+constexpr size_t MaxDelivered = 2 * Vms * (VmsOfACell - 1 + (Cells - 1) * ContactsInACell);
 
-/// VMs that tell each other through a network which delays each message by some milliseconds.
-class ToldFleet
+/// VMs that exchange messages through a network which delays each one by some milliseconds.
+class SimulatedFleet
 {
 public:
-    explicit ToldFleet(uint64_t seed)
+    explicit SimulatedFleet(uint64_t seed)
         : m_random(seed)
     {
         for (size_t vm = 0; vm < Vms; ++vm)
@@ -37,23 +38,23 @@
 
     SuspectTracker &vm(size_t index) { return *m_vms[index]; }
 
-    /// As the VM that saw an endpoint's process end.
-    void tellEnd(size_t vm, uint64_t process)
+    /// Reports a process exit as the VM @p vm that observed it.
+    void reportExit(size_t vm, uint64_t process)
     {
         LoadMessage message{ LoadChange::Suspected };
         message.m_suspects = { { Suspect, { process }, 0, 0 } };
         message.m_cell = cellOf(vm);
         m_vms[vm]->merge(message.m_suspects);
-        tellCell(vm, message);
-        tellContacts(vm, message);
+        sendToCell(vm, message);
+        sendToContacts(vm, message);
     }
 
-    /// Delivers what is due within @p time, or far more than there may be.
+    /// Delivers the messages that are due within @p time; stops far above the allowed number.
     void run(Duration time)
     {
         const TimePoint until = m_now + time;
         while (!m_inFlight.empty() && m_inFlight.begin()->first <= until
-               && m_delivered <= 10 * MostDelivered) {
+               && m_delivered <= 10 * MaxDelivered) {
             const auto [vm, message] = m_inFlight.begin()->second;
             m_now = m_inFlight.begin()->first;
             m_inFlight.erase(m_inFlight.begin());
@@ -73,16 +74,16 @@
     {
         SuspectHooks hooks;
         hooks.m_cell = [vm] { return CellView{ cellOf(vm), Cells }; };
-        hooks.m_watchesStore = [vm] { return vm % VmsOfACell < OnDutyInACell; };
-        hooks.m_sendToCell = [this, vm](const LoadMessage &message) { tellCell(vm, message); };
+        hooks.m_watchesStore = [vm] { return vm % VmsOfACell < WatchersInACell; };
+        hooks.m_sendToCell = [this, vm](const LoadMessage &message) { sendToCell(vm, message); };
         hooks.m_sendToOtherCells = [this, vm](const LoadMessage &message) {
-            tellContacts(vm, message);
+            sendToContacts(vm, message);
         };
         hooks.m_quarantined = [](const auto &, bool) {};
         return hooks;
     }
 
-    void tellCell(size_t from, const LoadMessage &message)
+    void sendToCell(size_t from, const LoadMessage &message)
     {
         for (size_t to = 0; to < Vms; ++to) {
             if (to != from && cellOf(to) == cellOf(from))
@@ -90,7 +91,7 @@
         }
     }
 
-    void tellContacts(size_t from, const LoadMessage &message)
+    void sendToContacts(size_t from, const LoadMessage &message)
     {
         for (uint32_t cell = 0; cell < Cells; ++cell) {
             for (size_t i = 0; cell != cellOf(from) && i < ContactsInACell; ++i)
@@ -113,26 +114,26 @@
     size_t m_delivered = 0;
 };
 
-TEST(SuspectTrackerTest, NewsAndClearingOfASuspectComeToRest)
+TEST(SuspectTrackerTest, ReportAndClearingStopCirculating)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
-        ToldFleet fleet(seed);
-        fleet.tellEnd(0, 7);
+        SimulatedFleet fleet(seed);
+        fleet.reportExit(0, 7);
         fleet.run(Millis(2 + seed));
         fleet.vm(0).noteCompleted(Suspect);
         fleet.run(Millis(500));
         EXPECT_TRUE(fleet.quiet()) << "seed " << seed;
-        EXPECT_LE(fleet.delivered(), MostDelivered) << "seed " << seed;
+        EXPECT_LE(fleet.delivered(), MaxDelivered) << "seed " << seed;
         for (size_t vm = 0; vm < Vms; ++vm)
             EXPECT_TRUE(fleet.vm(vm).empty()) << "seed " << seed << ", VM " << vm;
     }
 }
 
-// VMs of two versions serve side by side while one replaces the other.
-TEST(SuspectTrackerTest, ClearingWithoutEndsIsUnderstood)
+// VMs of two versions run side by side during an update; the earlier one sends no exits.
+TEST(SuspectTrackerTest, AcceptsAClearingWithoutExits)
 {
-    ToldFleet fleet(1);
-    fleet.tellEnd(0, 7);
+    SimulatedFleet fleet(1);
+    fleet.reportExit(0, 7);
     fleet.run(Millis(100));
     LoadMessage cleared{ LoadChange::Cleared };
     cleared.m_fingerprints = { Suspect };
@@ -140,15 +141,15 @@
     EXPECT_TRUE(fleet.vm(3).empty());
 }
 
-// What completed may still end engines later: a new end counts as the first one did.
-TEST(SuspectTrackerTest, EndAfterTheClearingIsKnownEverywhere)
+// A request that completed may still crash engines later: a new exit counts like the first one.
+TEST(SuspectTrackerTest, ExitAfterTheClearingReachesAllVms)
 {
-    ToldFleet fleet(1);
-    fleet.tellEnd(0, 7);
+    SimulatedFleet fleet(1);
+    fleet.reportExit(0, 7);
     fleet.run(Millis(100));
     fleet.vm(0).noteCompleted(Suspect);
     fleet.run(Millis(500));
-    fleet.tellEnd(9, 8);
+    fleet.reportExit(9, 8);
     fleet.run(Millis(500));
     EXPECT_TRUE(fleet.quiet());
     for (size_t vm = 0; vm < Vms; ++vm)
