--- a/relay/condemned_record.cpp
+++ b/relay/condemned_record.cpp
@@ -22,15 +22,15 @@
     return std::chrono::duration_cast<Millis>(time.time_since_epoch()).count();
 }
 
-bool covers(const SuspectNews &known, const SuspectNews &news)
+bool covers(const SuspectNews &known, const SuspectNews &report)
 {
-    return known.m_ends.size() >= news.m_ends.size() && known.m_trials >= news.m_trials;
+    return known.m_ends.size() >= report.m_ends.size() && known.m_trials >= report.m_trials;
 }
 
-/// Whether @p known contains everything that @p news reports.
-bool coversAll(const std::vector<SuspectNews> &known, const std::vector<SuspectNews> &news)
+/// Whether @p known contains everything that @p reports contains.
+bool coversAll(const std::vector<SuspectNews> &known, const std::vector<SuspectNews> &reports)
 {
-    return std::all_of(news.begin(), news.end(), [&known](const SuspectNews &one) {
+    return std::all_of(reports.begin(), reports.end(), [&known](const SuspectNews &one) {
         return std::any_of(known.begin(), known.end(), [&one](const SuspectNews &other) {
             return other.m_print == one.m_print && covers(other, one);
         });
@@ -41,12 +41,12 @@
 {
     if (!entry.is_object())
         return makeError(ErrorCode::InvalidArgument, "an entry is not an object");
-    SuspectNews news;
-    news.m_print = fingerprintFrom(stringField(entry, "print").value_or(""));
+    SuspectNews report;
+    report.m_print = fingerprintFrom(stringField(entry, "print").value_or(""));
     const auto ends = entry.find("ends");
     const auto trials = entry.find("trials");
     const auto at = entry.find("at_ms");
-    const bool complete = news.m_print != Fingerprint{} && ends != entry.end() && ends->is_array()
+    const bool complete = report.m_print != Fingerprint{} && ends != entry.end() && ends->is_array()
                           && trials != entry.end() && trials->is_number_unsigned()
                           && at != entry.end() && at->is_number_integer();
     if (!complete)
@@ -54,11 +54,12 @@
     for (const Json &end : *ends) {
         if (!end.is_number_unsigned())
             return makeError(ErrorCode::InvalidArgument, "an element of ends is not a process key");
-        news.m_ends.push_back(end.get<uint64_t>());
+        report.m_ends.push_back(end.get<uint64_t>());
     }
-    news.m_trials = trials->get<uint32_t>();
-    news.m_ageMs = static_cast<uint64_t>(std::max<int64_t>(millisOf(now) - at->get<int64_t>(), 0));
-    return news;
+    report.m_trials = trials->get<uint32_t>();
+    report.m_ageMs =
+        static_cast<uint64_t>(std::max<int64_t>(millisOf(now) - at->get<int64_t>(), 0));
+    return report;
 }
 
 } // namespace
@@ -66,11 +67,11 @@
 std::string encodeQuarantined(const std::vector<SuspectNews> &quarantined, WallTime now)
 {
     Json entries = Json::array();
-    for (const SuspectNews &news : quarantined) {
-        entries.push_back({ { "print", toString(news.m_print) },
-                            { "ends", news.m_ends },
-                            { "trials", news.m_trials },
-                            { "at_ms", millisOf(now) - static_cast<int64_t>(news.m_ageMs) } });
+    for (const SuspectNews &report : quarantined) {
+        entries.push_back({ { "print", toString(report.m_print) },
+                            { "ends", report.m_ends },
+                            { "trials", report.m_trials },
+                            { "at_ms", millisOf(now) - static_cast<int64_t>(report.m_ageMs) } });
     }
     return Json({ { "condemned", entries } }).dump();
 }
@@ -85,10 +86,10 @@
         return makeError(ErrorCode::InvalidArgument, "condemned is missing or not a list");
     std::vector<SuspectNews> quarantined;
     for (const Json &entry : *entries) {
-        auto news = readEntry(entry, now);
-        if (!news)
-            return tl::unexpected(news.error());
-        quarantined.push_back(std::move(*news));
+        auto report = readEntry(entry, now);
+        if (!report)
+            return tl::unexpected(report.error());
+        quarantined.push_back(std::move(*report));
     }
     return quarantined;
 }
@@ -96,14 +97,15 @@
 std::vector<SuspectNews> mergeQuarantined(std::vector<SuspectNews> one,
                                           const std::vector<SuspectNews> &other)
 {
-    for (const SuspectNews &news : other) {
-        const auto known = std::find_if(one.begin(), one.end(), [&news](const SuspectNews &entry) {
-            return entry.m_print == news.m_print;
-        });
+    for (const SuspectNews &report : other) {
+        const auto known =
+            std::find_if(one.begin(), one.end(), [&report](const SuspectNews &entry) {
+                return entry.m_print == report.m_print;
+            });
         if (known == one.end())
-            one.push_back(news);
-        else if (!covers(*known, news))
-            *known = news;
+            one.push_back(report);
+        else if (!covers(*known, report))
+            *known = report;
     }
     std::stable_sort(one.begin(), one.end(), [](const SuspectNews &left, const SuspectNews &right) {
         return left.m_ageMs < right.m_ageMs;
@@ -185,8 +187,9 @@
             .write();
     }
     // More entries may have been added during the write.
-    std::erase_if(m_unwritten,
-                  [&unwritten](const SuspectNews &news) { return coversAll(unwritten, { news }); });
+    std::erase_if(m_unwritten, [&unwritten](const SuspectNews &report) {
+        return coversAll(unwritten, { report });
+    });
     return m_unwritten.empty();
 }
 
--- a/relay/fleet_link.cpp
+++ b/relay/fleet_link.cpp
@@ -403,7 +403,7 @@
         if (sleepFor(self->m_thread.context(), delay)) {
             for (int tries = 0; tries < FetchAttempts; ++tries) {
                 const Peer *peer = self->peerWithNewerState();
-                if (!peer || self->fetchState(Address(peer->m_lastHeartbeat.m_calls)))
+                if (!peer || self->fetchState(Address(peer->m_lastHeartbeat.m_rpcAddress)))
                     break;
             }
         }
--- a/relay/fleet_messages.h
+++ b/relay/fleet_messages.h
@@ -29,7 +29,7 @@
     DataCentreId m_dataCentre;
     uint64_t m_origin = 0; ///< Identifies one process of the VM.
     uint64_t m_sentUs = 0; ///< Sender's steady clock, which has an arbitrary origin.
-    Address m_calls; ///< RPC address (TCP).
+    Address m_rpcAddress; ///< RPC address (TCP).
     Address m_loads; ///< Address for load messages (UDP).
     StateSummary m_stateSummary;
     bool m_watchesStore = false; ///< The sender watches the store for its data centre.
@@ -40,7 +40,7 @@
     bool m_requestsLoads = false; ///< Asks the receiver for the requests that it has in flight.
     uint32_t m_fleetVms = 0; ///< The highest number of registered VMs that the sender has found.
 
-    MSGPACK_DEFINE(m_vm, m_dataCentre, m_origin, m_sentUs, m_calls, m_loads, m_stateSummary,
+    MSGPACK_DEFINE(m_vm, m_dataCentre, m_origin, m_sentUs, m_rpcAddress, m_loads, m_stateSummary,
                    m_watchesStore, m_draining, m_gone, m_isReply, m_requestsLoads, m_fleetVms)
 };
 
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -46,7 +46,7 @@
 {
     m_plan = &plan;
     MemoryTickets reservations(m_node);
-    const Status reserved = reservations.reserve(plan.m_members, m_clientLeft);
+    const Status reserved = reservations.reserve(plan.m_members, m_clientDisconnected);
     if (!reserved) {
         m_node.end(m_loadKey);
         m_failureReason = "memory not reserved: " + reserved.error().m_message;
@@ -73,16 +73,16 @@
     return std::chrono::duration_cast<Duration>(clientPatience() * PatienceShare);
 }
 
-bool RelayRun::mayRepeat() const
+bool RelayRun::mayRetry() const
 {
     // A slow response is better than one cancelled for a repeat that the retry budget refuses.
     return !atMostOnce() && m_mayHaveRun < m_route->m_maxAttempts
-           && m_node.mayRepeat(m_serviceId, *m_view);
+           && m_node.mayRetry(m_serviceId, *m_view);
 }
 
 Duration RelayRun::firstEventTimeout(const GangPlan &plan) const
 {
-    if (!mayRepeat())
+    if (!mayRetry())
         return remainingTime();
     if (m_route->m_kind != RouteKind::Stream)
         return std::max<Duration>(m_route->m_aim * ServiceAims, MinFirstEventTimeout);
@@ -130,10 +130,10 @@
     }
     // The client may have disconnected before its request was read, or while this fiber was
     // blocked, without a notification yet.
-    m_clientLeft = m_clientLeft || m_exchange.callerLeft();
+    m_clientDisconnected = m_clientDisconnected || m_exchange.callerLeft();
     // The fiber does not yield from here to the send, so abortForShutdown() runs before this check
     // or finds the connection.
-    if (m_clientLeft || m_node.m_stopping || remainingTime() <= Duration::zero()
+    if (m_clientDisconnected || m_node.m_stopping || remainingTime() <= Duration::zero()
         || cannotFinishInDrain() || !maySend())
         return AttemptResult::NotSent;
     const bool reused = (*connection)->reused();
@@ -161,7 +161,7 @@
                                               std::string_view why)
 {
     // Cancelled by this side.
-    if (m_clientLeft || m_node.m_stopping)
+    if (m_clientDisconnected || m_node.m_stopping)
         return AttemptResult::Failed;
     m_failureReason = why;
     m_triedEndpoints.insert(endpoint.m_id);
@@ -208,7 +208,7 @@
 
 void RelayRun::noteBrokenResponse(const HttpConnection &connection, const EndpointRecord &endpoint)
 {
-    if (m_clientLeft || m_node.m_stopping)
+    if (m_clientDisconnected || m_node.m_stopping)
         return;
     // The other VMs need to know immediately that this attempt is over.
     m_node.end(m_loadKey);
@@ -332,7 +332,7 @@
     bool first = true;
     for (;;) {
         const TimePoint silentUntil =
-            mayRepeat() ? std::min(m_deadline, Clock::now() + streamSilenceTimeout()) : m_deadline;
+            mayRetry() ? std::min(m_deadline, Clock::now() + streamSilenceTimeout()) : m_deadline;
         const TimePoint until = first ? firstEventBy : silentUntil;
         const Status read =
             connection.readBody(piece, std::max<Duration>(until - Clock::now(), Millis(1)));
@@ -355,7 +355,7 @@
             }
             forwardEvents(head, response.m_status, batch);
         }
-        if (m_clientLeft)
+        if (m_clientDisconnected)
             return AttemptResult::Failed;
         if (!ordered)
             return failAttempt(endpoint, FailureWeight::Telling, "events out of order");
@@ -375,7 +375,7 @@
     const TimePoint now = Clock::now();
     Status passed;
     if (m_streaming) {
-        m_longestGap = std::max(m_longestGap, now - m_lastPassedOn);
+        m_longestGap = std::max(m_longestGap, now - m_lastForwardedAt);
         passed = m_exchange.write(batch);
     } else {
         m_streaming = true;
@@ -383,8 +383,8 @@
         m_node.m_metrics.recordFirstEventTime(*m_route, m_firstEventDelay);
         passed = m_exchange.startStream(status, head.m_endToEnd, batch);
     }
-    m_clientLeft = m_clientLeft || !passed;
-    m_lastPassedOn = now;
+    m_clientDisconnected = m_clientDisconnected || !passed;
+    m_lastForwardedAt = now;
 }
 
 } // namespace stackquay
--- a/relay/relay_daemon.cpp
+++ b/relay/relay_daemon.cpp
@@ -94,10 +94,10 @@
         m_control, *m_store, adapter.m_source,
         [this](const std::vector<SuspectNews> &quarantined) { addQuarantined(quarantined); });
     m_store->onRise([this] { noteEra(m_store->era()); });
-    m_node->m_quarantined = [this](const std::vector<SuspectNews> &quarantined, bool seen) {
-        m_control.post([this, quarantined, seen] {
+    m_node->m_quarantined = [this](const std::vector<SuspectNews> &quarantined, bool observed) {
+        m_control.post([this, quarantined, observed] {
             m_quarantined = quarantined;
-            if (seen)
+            if (observed)
                 m_quarantineRecord->save(quarantined);
         });
     };
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -67,10 +67,10 @@
     hooks.m_sendToOtherCells = [this](const LoadMessage &message) {
         m_loads.sendToContacts(message);
     };
-    hooks.m_quarantined = [this](const std::vector<SuspectNews> &quarantined, bool seen) {
+    hooks.m_quarantined = [this](const std::vector<SuspectNews> &quarantined, bool observed) {
         m_metrics.m_quarantined.add();
         if (m_quarantined)
-            m_quarantined(quarantined, seen);
+            m_quarantined(quarantined, observed);
     };
     return hooks;
 }
@@ -266,7 +266,7 @@
     m_retries.m_settings.m_sharers = static_cast<uint32_t>(view.m_vms * SharerMargin) + 1;
 }
 
-bool RelayNode::mayRepeat(const ServiceId &service, const RelayView &view)
+bool RelayNode::mayRetry(const ServiceId &service, const RelayView &view)
 {
     setRetryBounds(view);
     return repeatsLeft(m_retries, service, Clock::now());
--- a/relay/relay_node.h
+++ b/relay/relay_node.h
@@ -47,7 +47,7 @@
     /// Watches the store for other VMs, and forwards updates to other cells.
     bool m_watchesStore = false;
     /// See SuspectHooks. Set before the thread starts.
-    std::function<void(const std::vector<SuspectNews> &, bool seen)> m_quarantined;
+    std::function<void(const std::vector<SuspectNews> &, bool observed)> m_quarantined;
     std::unordered_set<RelayRun *> m_runs; ///< Requests in progress.
 
     /// A unique key for the next attempt.
@@ -84,7 +84,7 @@
     /// used up.
     bool takeRepeat(const ServiceId &service, const RelayView &view);
     /// Whether takeRepeat() would currently succeed.
-    bool mayRepeat(const ServiceId &service, const RelayView &view);
+    bool mayRetry(const ServiceId &service, const RelayView &view);
 
 private:
     TimePoint m_readySince{}; ///< Time of the first placement; the ledger was incomplete before.
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -185,7 +185,7 @@
         if (!announced)
             m_node.wait(m_loadKey, gapLimitMs(), turn);
         announced = true;
-        if (cannotFinish || !sleepFor(m_node.m_thread.context(), TurnPoll) || m_clientLeft
+        if (cannotFinish || !sleepFor(m_node.m_thread.context(), TurnPoll) || m_clientDisconnected
             || remainingTime() <= TurnPoll) {
             m_failureReason = "ended while it waited in the queue";
             return std::nullopt;
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -67,7 +67,7 @@
     if (!admit())
         return;
     m_exchange.onHangup([this] {
-        m_clientLeft = true;
+        m_clientDisconnected = true;
         if (m_connection)
             m_connection->cancel();
     });
@@ -214,7 +214,7 @@
 
 bool RelayRun::mayAttempt()
 {
-    if (m_clientLeft || m_node.m_stopping || remainingTime() <= Duration::zero()
+    if (m_clientDisconnected || m_node.m_stopping || remainingTime() <= Duration::zero()
         || m_placements >= MaxPlacements)
         return false;
     if (m_quarantineRetryAfter || !maySend())
@@ -234,7 +234,7 @@
 
 void RelayRun::finishUnanswered()
 {
-    if (m_clientLeft) {
+    if (m_clientDisconnected) {
         m_exchange.abort();
         logEnd(RelayOutcome::Abandoned, 0, m_failureReason);
         return;
--- a/relay/relay_run.h
+++ b/relay/relay_run.h
@@ -117,7 +117,7 @@
     bool collectEvents(EventSplitter &events, std::string &batch);
     void forwardEvents(const AnswerHead &head, unsigned status, const std::string &batch);
     HttpRequest upstreamRequest(const GangPlan &plan, const MemoryTickets &reservations) const;
-    bool mayRepeat() const;
+    bool mayRetry() const;
     Duration streamSilenceTimeout() const;
     Duration firstEventTimeout(const GangPlan &plan) const;
 
@@ -169,11 +169,11 @@
     SuspectCare m_care = SuspectCare::None;
     /// Set once the request is not sent any more: when the client may retry.
     std::optional<Millis> m_quarantineRetryAfter;
-    TimePoint m_lastPassedOn{}; ///< When events were last sent to the client.
+    TimePoint m_lastForwardedAt{}; ///< When events were last sent to the client.
     Duration m_longestGap{}; ///< Longest time between events sent to the client.
     Duration m_firstEventDelay{}; ///< Time from the arrival to the first event.
     bool m_streaming = false; ///< The client has received the head of the response.
-    bool m_clientLeft = false;
+    bool m_clientDisconnected = false;
 };
 
 } // namespace stackquay
--- a/relay/suspect_watch.cpp
+++ b/relay/suspect_watch.cpp
@@ -11,7 +11,7 @@
 
 /// Datagrams may be lost: the report that leads to a quarantine is sent again after these delays,
 /// within the time in which all VMs must know it. Other reports contain all exits so far, so that
-/// later ones make up for a lost one.
+/// later ones make up for a lost report.
 constexpr std::array<Millis, 2> RepeatDelays{ Millis(150), Millis(450) };
 /// A crashing process may close its connections before its listening socket, for example while an
 /// engine writes a core dump. The later check is well within the time in which the exit must be
@@ -24,8 +24,8 @@
 /// Suspects in one datagram, which must fit into a packet, and in all that is sent to a new VM.
 constexpr size_t SuspectsPerDatagram = 8;
 constexpr size_t MaxSuspectsSent = 64;
-/// A suspect that runs alone is placed on one of the least loaded engines, which are the pool's
-/// size divided by this.
+/// A suspect that runs alone is placed on one of the least loaded engines: one in this many of the
+/// pool.
 constexpr size_t LeastLoadedDivisor = 4;
 
 std::vector<EndpointRecord> leastLoadedPart(std::vector<EndpointRecord> pool,
@@ -59,57 +59,57 @@
     RandomEngine m_random;
     SuspectTable m_table;
 
-    void noteExit(const Fingerprint &print, const EndpointRecord &endpoint);
+    void noteExit(const Fingerprint &fingerprint, const EndpointRecord &endpoint);
     void delayResend();
-    void recheck(const std::vector<EndpointRecord> &endpoints, const Fingerprint &print);
-    bool noteIfExited(const std::vector<EndpointRecord> &endpoints, const Fingerprint &print);
+    void recheck(const std::vector<EndpointRecord> &endpoints, const Fingerprint &fingerprint);
+    bool noteIfExited(const std::vector<EndpointRecord> &endpoints, const Fingerprint &fingerprint);
     void broadcast(LoadMessage message);
     void rebroadcast(const LoadMessage &message);
     void forward(const LoadMessage &message);
-    void logChange(const Fingerprint &print, SuspectChange change);
-    void reportQuarantined(bool seen);
-    bool merge(const std::vector<SuspectNews> &news);
+    void logChange(const Fingerprint &fingerprint, SuspectChange change);
+    void reportQuarantined(bool observed);
+    bool merge(const std::vector<SuspectNews> &reports);
 };
 
-void SuspectTracker::State::logChange(const Fingerprint &print, SuspectChange change)
+void SuspectTracker::State::logChange(const Fingerprint &fingerprint, SuspectChange change)
 {
-    const auto suspect = m_table.m_suspects.find(print);
+    const auto suspect = m_table.m_suspects.find(fingerprint);
     if (suspect == m_table.m_suspects.end())
         return;
     DecisionLine("relay",
                  change == SuspectChange::Condemned ? "request condemned" : "request suspected")
-        .text("print", toString(print))
+        .text("print", toString(fingerprint))
         .number("ends", static_cast<int64_t>(suspect->second.m_ends.size()))
         .number("trials", suspect->second.m_trials)
         .number("suspects", static_cast<int64_t>(m_table.m_suspects.size()))
         .write();
 }
 
-void SuspectTracker::State::reportQuarantined(bool seen)
+void SuspectTracker::State::reportQuarantined(bool observed)
 {
     std::vector<SuspectNews> quarantined = newsOf(m_table, MaxSuspectsSent, Clock::now());
     std::erase_if(quarantined,
-                  [this](const SuspectNews &news) { return !isCondemned(m_table, news); });
-    m_hooks.m_quarantined(quarantined, seen);
+                  [this](const SuspectNews &report) { return !isCondemned(m_table, report); });
+    m_hooks.m_quarantined(quarantined, observed);
 }
 
-void SuspectTracker::State::noteExit(const Fingerprint &print, const EndpointRecord &endpoint)
+void SuspectTracker::State::noteExit(const Fingerprint &fingerprint, const EndpointRecord &endpoint)
 {
     const TimePoint now = Clock::now();
     DecisionLine("relay", "endpoint process ended")
         .text("endpoint", endpoint.m_id.str())
         .text("address", endpoint.m_address)
-        .text("print", toString(print))
+        .text("print", toString(fingerprint))
         .write();
     forgetOldSuspects(m_table, now);
-    const SuspectChange change =
-        stackquay::noteEnd(m_table, print, processName(endpoint.m_id, endpoint.m_startedMs), now);
+    const SuspectChange change = stackquay::noteEnd(
+        m_table, fingerprint, processName(endpoint.m_id, endpoint.m_startedMs), now);
     if (change == SuspectChange::None)
         return;
-    logChange(print, change);
-    const Suspect &suspect = m_table.m_suspects[print];
+    logChange(fingerprint, change);
+    const Suspect &suspect = m_table.m_suspects[fingerprint];
     LoadMessage message{ LoadChange::Suspected };
-    message.m_suspects = { { print, suspect.m_ends, suspect.m_trials, 0 } };
+    message.m_suspects = { { fingerprint, suspect.m_ends, suspect.m_trials, 0 } };
     broadcast(message);
     if (change != SuspectChange::Condemned)
         return;
@@ -149,17 +149,17 @@
     m_hooks.m_sendToCell(forwarded);
 }
 
-bool SuspectTracker::State::merge(const std::vector<SuspectNews> &news)
+bool SuspectTracker::State::merge(const std::vector<SuspectNews> &reports)
 {
     bool changed = false;
     bool quarantined = false;
-    for (const SuspectNews &one : news) {
-        const SuspectChange change = joinNews(m_table, one, Clock::now());
+    for (const SuspectNews &report : reports) {
+        const SuspectChange change = joinNews(m_table, report, Clock::now());
         if (change == SuspectChange::None)
             continue;
         changed = true;
         quarantined = quarantined || change == SuspectChange::Condemned;
-        logChange(one.m_print, change);
+        logChange(report.m_print, change);
     }
     if (quarantined)
         reportQuarantined(false);
@@ -167,22 +167,22 @@
 }
 
 bool SuspectTracker::State::noteIfExited(const std::vector<EndpointRecord> &endpoints,
-                                         const Fingerprint &print)
+                                         const Fingerprint &fingerprint)
 {
     for (const EndpointRecord &endpoint : endpoints) {
         if (!m_exitProbe.hasExited(endpoint))
             continue;
-        noteExit(print, endpoint);
+        noteExit(fingerprint, endpoint);
         return true;
     }
     return false;
 }
 
 void SuspectTracker::State::recheck(const std::vector<EndpointRecord> &endpoints,
-                                    const Fingerprint &print)
+                                    const Fingerprint &fingerprint)
 {
     for (const Millis after : RecheckDelays) {
-        if (!sleepFor(m_thread.context(), after) || noteIfExited(endpoints, print))
+        if (!sleepFor(m_thread.context(), after) || noteIfExited(endpoints, fingerprint))
             return;
     }
 }
@@ -210,41 +210,41 @@
 }
 
 bool SuspectTracker::noteBrokenResponse(const std::vector<EndpointRecord> &endpoints,
-                                        const Fingerprint &print)
+                                        const Fingerprint &fingerprint)
 {
     const auto state = m_state;
-    if (state->noteIfExited(endpoints, print)) {
+    if (state->noteIfExited(endpoints, fingerprint)) {
         state->delayResend();
         return true;
     }
-    spawnFiber([state, endpoints, print] { state->recheck(endpoints, print); });
+    spawnFiber([state, endpoints, fingerprint] { state->recheck(endpoints, fingerprint); });
     return false;
 }
 
-void SuspectTracker::noteCompleted(const Fingerprint &print)
+void SuspectTracker::noteCompleted(const Fingerprint &fingerprint)
 {
     SuspectTable &table = m_state->m_table;
-    const auto suspect = table.m_suspects.find(print);
+    const auto suspect = table.m_suspects.find(fingerprint);
     if (suspect == table.m_suspects.end())
         return;
     LoadMessage message{ LoadChange::Cleared };
-    message.m_fingerprints = { print };
-    message.m_suspects = { { print, suspect->second.m_ends, 0, 0 } };
-    noteCleared(table, print, {}, Clock::now());
-    DecisionLine("relay", "request cleared").text("print", toString(print)).write();
+    message.m_fingerprints = { fingerprint };
+    message.m_suspects = { { fingerprint, suspect->second.m_ends, 0, 0 } };
+    noteCleared(table, fingerprint, {}, Clock::now());
+    DecisionLine("relay", "request cleared").text("print", toString(fingerprint)).write();
     m_state->broadcast(std::move(message));
 }
 
-SuspectVerdict SuspectTracker::judge(const Fingerprint &print, const LoadKey &own) const
+SuspectVerdict SuspectTracker::judge(const Fingerprint &fingerprint, const LoadKey &own) const
 {
-    return stackquay::judge(m_state->m_table, print, own, Clock::now());
+    return stackquay::judge(m_state->m_table, fingerprint, own, Clock::now());
 }
 
-void SuspectTracker::beginTry(const Fingerprint &print, const LoadKey &key, Duration lifetime,
+void SuspectTracker::beginTry(const Fingerprint &fingerprint, const LoadKey &key, Duration lifetime,
                               bool own)
 {
     const TimePoint now = Clock::now();
-    stackquay::beginTry(m_state->m_table, print, key, now + lifetime, now);
+    stackquay::beginTry(m_state->m_table, fingerprint, key, now + lifetime, now);
     const auto attempt = m_state->m_table.m_tries.find(key);
     // The number of probes must survive an exit of all VMs.
     if (own && attempt != m_state->m_table.m_tries.end() && attempt->second.m_trial)
@@ -299,29 +299,30 @@
         return;
     }
     bool cleared = false;
-    for (const SuspectNews &news : message.m_suspects)
-        cleared = noteCleared(m_state->m_table, news.m_print, news.m_ends, Clock::now()) || cleared;
+    for (const SuspectNews &report : message.m_suspects)
+        cleared =
+            noteCleared(m_state->m_table, report.m_print, report.m_ends, Clock::now()) || cleared;
     // VMs of an earlier version send no process exits.
-    for (const Fingerprint &print : message.m_fingerprints)
-        cleared = noteCleared(m_state->m_table, print, {}, Clock::now()) || cleared;
+    for (const Fingerprint &fingerprint : message.m_fingerprints)
+        cleared = noteCleared(m_state->m_table, fingerprint, {}, Clock::now()) || cleared;
     if (cleared)
         m_state->forward(message);
 }
 
-void SuspectTracker::merge(const std::vector<SuspectNews> &news)
+void SuspectTracker::merge(const std::vector<SuspectNews> &reports)
 {
-    m_state->merge(news);
+    m_state->merge(reports);
 }
 
 std::vector<LoadMessage> SuspectTracker::allSuspects() const
 {
     std::vector<LoadMessage> messages;
-    const auto news = newsOf(m_state->m_table, MaxSuspectsSent, Clock::now());
-    for (size_t i = 0; i < news.size(); i += SuspectsPerDatagram) {
-        const size_t end = std::min(i + SuspectsPerDatagram, news.size());
+    const auto reports = newsOf(m_state->m_table, MaxSuspectsSent, Clock::now());
+    for (size_t i = 0; i < reports.size(); i += SuspectsPerDatagram) {
+        const size_t end = std::min(i + SuspectsPerDatagram, reports.size());
         LoadMessage message{ LoadChange::Suspected };
-        message.m_suspects.assign(news.begin() + static_cast<ptrdiff_t>(i),
-                                  news.begin() + static_cast<ptrdiff_t>(end));
+        message.m_suspects.assign(reports.begin() + static_cast<ptrdiff_t>(i),
+                                  reports.begin() + static_cast<ptrdiff_t>(end));
         message.m_cell = m_state->m_hooks.m_cell().m_cell;
         messages.push_back(std::move(message));
     }
--- a/relay/suspect_watch.h
+++ b/relay/suspect_watch.h
@@ -22,9 +22,9 @@
     std::function<bool()> m_watchesStore;
     std::function<void(const LoadMessage &message)> m_sendToCell;
     std::function<void(const LoadMessage &message)> m_sendToOtherCells;
-    /// Called when the set of quarantined requests changed; @p seen: this VM itself observed the
-    /// exit that led to it.
-    std::function<void(const std::vector<SuspectNews> &quarantined, bool seen)> m_quarantined;
+    /// Called when the set of quarantined requests changed; @p observed: this VM itself observed
+    /// the exit that led to it.
+    std::function<void(const std::vector<SuspectNews> &quarantined, bool observed)> m_quarantined;
 };
 
 /// Used on the traffic thread only.
@@ -45,13 +45,14 @@
     /// process of one of them has exited, which makes the request a suspect. Blocks the fiber for a
     /// connection attempt, and after an exit for some milliseconds more, so that the suspects of
     /// one exit see each other's placements.
-    bool noteBrokenResponse(const std::vector<EndpointRecord> &endpoints, const Fingerprint &print);
+    bool noteBrokenResponse(const std::vector<EndpointRecord> &endpoints,
+                            const Fingerprint &fingerprint);
     /// To be called when the request received a whole successful response.
-    void noteCompleted(const Fingerprint &print);
+    void noteCompleted(const Fingerprint &fingerprint);
     /// Decides how an attempt with the key @p own may run.
-    SuspectVerdict judge(const Fingerprint &print, const LoadKey &own) const;
+    SuspectVerdict judge(const Fingerprint &fingerprint, const LoadKey &own) const;
     /// Records an attempt of a suspect; @p own: it is an attempt of this VM.
-    void beginTry(const Fingerprint &print, const LoadKey &key, Duration lifetime, bool own);
+    void beginTry(const Fingerprint &fingerprint, const LoadKey &key, Duration lifetime, bool own);
     void endTry(const LoadKey &key);
     /// The suspect that the attempt in flight belongs to; nothing if it belongs to none.
     std::optional<Fingerprint> suspectOf(const LoadKey &key) const;
@@ -62,7 +63,7 @@
                                                   StreamLedger &ledger) const;
     void receive(const LoadMessage &message);
     /// Merges suspects reported by another VM or read from the store.
-    void merge(const std::vector<SuspectNews> &news);
+    void merge(const std::vector<SuspectNews> &reports);
     /// All suspects, as messages for a new VM.
     std::vector<LoadMessage> allSuspects() const;
 
