--- a/relay/fleet_link.cpp
+++ b/relay/fleet_link.cpp
@@ -136,7 +136,7 @@
     void sendHeartbeat(const Address &to, Peer &peer, bool answer);
     void sendHeartbeat(const Address &to, const HeartbeatFlags &kind);
     void receive(const Address &from, std::string_view bytes);
-    void handleHeartbeat(const Address &from, Peer &peer, const Beat &beat);
+    void handleHeartbeat(const Address &from, Peer &peer, const Beat &heartbeat);
     void announceTo(const Address &from, Peer &peer, bool hadNoPeers);
     void applyProof(Peer &peer);
     bool hasNoPeers() const;
@@ -169,20 +169,20 @@
         return;
     const auto sinceEpoch = Clock::now().time_since_epoch();
     const auto sentUs = std::chrono::duration_cast<std::chrono::microseconds>(sinceEpoch).count();
-    const Beat beat{ m_settings.m_vm,
-                     m_settings.m_dataCentre,
-                     m_origin,
-                     static_cast<uint64_t>(sentUs),
-                     m_settings.m_peerCalls,
-                     m_settings.m_loads,
-                     m_hooks.m_ownSummary(),
-                     m_watchesStore,
-                     m_draining,
-                     m_gone,
-                     kind.m_isReply,
-                     kind.m_requestsLoads,
-                     m_registeredVms };
-    m_socket.send(*endpoint, encodeMessage(beat));
+    const Beat heartbeat{ m_settings.m_vm,
+                          m_settings.m_dataCentre,
+                          m_origin,
+                          static_cast<uint64_t>(sentUs),
+                          m_settings.m_peerCalls,
+                          m_settings.m_loads,
+                          m_hooks.m_ownSummary(),
+                          m_watchesStore,
+                          m_draining,
+                          m_gone,
+                          kind.m_isReply,
+                          kind.m_requestsLoads,
+                          m_registeredVms };
+    m_socket.send(*endpoint, encodeMessage(heartbeat));
 }
 
 void FleetLink::State::sendHeartbeats(bool all)
@@ -224,52 +224,52 @@
 
 void FleetLink::State::receive(const Address &from, std::string_view bytes)
 {
-    const Result<Beat> beat = decodeMessage<Beat>(bytes);
-    if (!beat || beat->m_origin == m_origin || m_gone)
+    const Result<Beat> heartbeat = decodeMessage<Beat>(bytes);
+    if (!heartbeat || heartbeat->m_origin == m_origin || m_gone)
         return;
-    noteFleetSize(beat->m_fleetVms);
-    if (!inCell(beat->m_vm)) {
-        if (!beat->m_isReply && !beat->m_gone && beat->m_fleetVms < m_registeredVms)
+    noteFleetSize(heartbeat->m_fleetVms);
+    if (!inCell(heartbeat->m_vm)) {
+        if (!heartbeat->m_isReply && !heartbeat->m_gone && heartbeat->m_fleetVms < m_registeredVms)
             sendHeartbeat(from, { true, false });
         return;
     }
     Peer &peer = m_peers[from];
     const bool overtaken =
-        peer.m_lastHeartbeat.m_gone && peer.m_lastHeartbeat.m_origin == beat->m_origin;
+        peer.m_lastHeartbeat.m_gone && peer.m_lastHeartbeat.m_origin == heartbeat->m_origin;
     if (!overtaken)
-        handleHeartbeat(from, peer, *beat);
+        handleHeartbeat(from, peer, *heartbeat);
 }
 
-void FleetLink::State::handleHeartbeat(const Address &from, Peer &peer, const Beat &beat)
+void FleetLink::State::handleHeartbeat(const Address &from, Peer &peer, const Beat &heartbeat)
 {
     const bool hadNoPeers = hasNoPeers();
     const uint64_t before = peer.m_lastHeartbeat.m_origin;
-    const bool restarted = before != beat.m_origin;
+    const bool restarted = before != heartbeat.m_origin;
     const bool begins = !peer.m_alive || restarted;
-    const bool drains = beat.m_draining && (restarted || !peer.m_lastHeartbeat.m_draining);
+    const bool drains = heartbeat.m_draining && (restarted || !peer.m_lastHeartbeat.m_draining);
     if (restarted)
         peer.m_clock = {};
     if (restarted && before != 0)
         m_hooks.m_onProcessGone(before);
-    if (beat.m_gone)
-        m_hooks.m_onProcessGone(beat.m_origin);
-    peer.m_lastHeartbeat = beat;
+    if (heartbeat.m_gone)
+        m_hooks.m_onProcessGone(heartbeat.m_origin);
+    peer.m_lastHeartbeat = heartbeat;
     peer.m_lastHeardAt = Clock::now();
-    peer.m_alive = !beat.m_gone;
+    peer.m_alive = !heartbeat.m_gone;
     updateWatcherRole();
-    m_hooks.m_era(beat.m_stateSummary.m_era);
-    if (begins || drains || beat.m_gone) {
+    m_hooks.m_era(heartbeat.m_stateSummary.m_era);
+    if (begins || drains || heartbeat.m_gone) {
         const char *event = drains ? "peer leaves" : "peer heard";
-        DecisionLine("peers", beat.m_gone ? "peer gone" : event)
-            .text("vm", beat.m_vm.str())
+        DecisionLine("peers", heartbeat.m_gone ? "peer gone" : event)
+            .text("vm", heartbeat.m_vm.str())
             .text("address", toString(from))
             .write();
         publish();
     }
-    if (beat.m_gone)
+    if (heartbeat.m_gone)
         return;
-    if (begins || beat.m_requestsLoads)
-        m_hooks.m_sendLoads(beat.m_loads);
+    if (begins || heartbeat.m_requestsLoads)
+        m_hooks.m_sendLoads(heartbeat.m_loads);
     if (begins)
         announceTo(from, peer, hadNoPeers);
     applyProof(peer);
--- a/relay/fleet_link.h
+++ b/relay/fleet_link.h
@@ -24,7 +24,7 @@
 
 namespace stackquay {
 
-/// The fleet, as far as placement and quotas depend on it.
+/// The fleet, as far as placement and retry budgets depend on it.
 struct FleetView {
     std::vector<Address> m_loads; ///< Load message addresses of the peers in this VM's cell.
     std::vector<Address> m_contacts; ///< Load message addresses of some VMs in each other cell.
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -16,9 +16,8 @@
 /// A connection to another data centre takes a few milliseconds; TCP sends a lost packet again
 /// after a second.
 constexpr Millis ConnectTimeout{ 200 };
-/// Requests that may run only once, and retrys, use a connection that carried a response
-/// within this part of the recovery time (250 ms of 3 s), or a new one: idle connections may be
-/// dead.
+/// Requests that may run only once, and retries, use a connection that carried a response within
+/// this part of the recovery time (250 ms of 3 s), or a new one: idle connections may be dead.
 constexpr int JustUsedShare = 12;
 /// For the rest of a response whose head has arrived.
 constexpr Millis BodyTimeout{ 1'000 };
--- a/relay/store_follower.h
+++ b/relay/store_follower.h
@@ -49,7 +49,8 @@
     /// To be called after the store was restored from a backup: watches it anew, and for a while
     /// does not remove the endpoints missing from it. On the thread.
     void noteStoreRestored();
-    /// Whether the store has answered recent calls. On the thread.
+    /// False if a call failed within the last few seconds after a longer silence of the store. On
+    /// the thread.
     bool reachesStore() const;
 
 private:
--- a/relay/suspect_watch.h
+++ b/relay/suspect_watch.h
@@ -44,7 +44,7 @@
     /// To be called when the response of @p endpoints to the request broke off. Returns whether the
     /// process of one of them has exited, which makes the request a suspect. Blocks the fiber for a
     /// connection attempt, and after an exit for some milliseconds more, so that the suspects of
-    /// one exit see each other's placements.
+    /// one exit see each other's placements. If no exit is seen, checks again in the background.
     bool noteBrokenResponse(const std::vector<EndpointRecord> &endpoints,
                             const Fingerprint &fingerprint);
     /// To be called when the request received a whole successful response.
