--- a/endpoint/engine_frame.cpp
+++ b/endpoint/engine_frame.cpp
@@ -8,7 +8,7 @@
 
 using Json = nlohmann::json;
 
-uint64_t number(const Json &object, const char *key)
+uint64_t numberField(const Json &object, const char *key)
 {
     const auto found = object.find(key);
     if (found == object.end() || !found->is_number_unsigned())
@@ -16,7 +16,7 @@
     return found->get<uint64_t>();
 }
 
-std::string text(const Json &object, const char *key)
+std::string textField(const Json &object, const char *key)
 {
     const auto found = object.find(key);
     if (found == object.end() || !found->is_string())
@@ -24,7 +24,7 @@
     return found->get<std::string>();
 }
 
-bool has(const Json &object, const char *key)
+bool hasField(const Json &object, const char *key)
 {
     return object.find(key) != object.end();
 }
@@ -32,11 +32,11 @@
 FinalFrame parseFinal(const Json &object)
 {
     FinalFrame frame;
-    frame.m_tokens = number(object, "tokens");
-    frame.m_cached = number(object, "cached");
-    frame.m_finish = text(object, "finish");
-    frame.m_prefill = Micros(number(object, "prefill_us"));
-    frame.m_queue = Micros(number(object, "queue_us"));
+    frame.m_tokens = numberField(object, "tokens");
+    frame.m_cached = numberField(object, "cached");
+    frame.m_finish = textField(object, "finish");
+    frame.m_prefill = Micros(numberField(object, "prefill_us"));
+    frame.m_queue = Micros(numberField(object, "queue_us"));
     return frame;
 }
 
@@ -47,16 +47,16 @@
     const Json object = Json::parse(json, nullptr, false);
     if (!object.is_object())
         return makeError(ErrorCode::ProtocolError, "frame is not a JSON object");
-    if (text(object, "attempt") != attempt.str())
-        return makeError(ErrorCode::ProtocolError, "frame of another attempt");
-    if (has(object, "done"))
+    if (textField(object, "attempt") != attempt.str())
+        return makeError(ErrorCode::ProtocolError, "frame belongs to another attempt");
+    if (hasField(object, "done"))
         return parseFinal(object);
-    if (has(object, "prefilled"))
-        return PrefillFrame{ number(object, "prefilled"), number(object, "cached") };
+    if (hasField(object, "prefilled"))
+        return PrefillFrame{ numberField(object, "prefilled"), numberField(object, "cached") };
     TokenFrame frame;
-    frame.m_index = number(object, "index");
-    frame.m_count = number(object, "n");
-    frame.m_text = text(object, "text");
+    frame.m_index = numberField(object, "index");
+    frame.m_count = numberField(object, "n");
+    frame.m_text = textField(object, "text");
     if (frame.m_count == 0)
         return makeError(ErrorCode::ProtocolError, "frame without tokens");
     return frame;
--- a/endpoint/engine_frame.h
+++ b/endpoint/engine_frame.h
@@ -1,4 +1,4 @@
-/// What an engine streams back, as typed frames. Wire shape: docs/PROTOCOLS.md.
+/// Typed frames of an engine's response stream. Wire format: docs/PROTOCOLS.md.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +15,14 @@
     std::string m_text;
 };
 
-/// The answer to an attempt that only fills the prefix cache.
+/// Response to an attempt that only fills the prefix cache.
 struct PrefillFrame {
-    uint64_t m_prefilled = 0; ///< Tokens of the prompt computed now.
-    uint64_t m_cached = 0; ///< Those before them that had been in the cache.
+    uint64_t m_prefilled = 0; ///< Prompt tokens computed by this attempt.
+    uint64_t m_cached = 0; ///< Prompt tokens before them, found in the cache.
 };
 
 struct FinalFrame {
-    uint64_t m_tokens = 0; ///< The whole answer's length, including tokens skipped.
+    uint64_t m_tokens = 0; ///< Length of the whole answer, including skipped tokens.
     uint64_t m_cached = 0; ///< Prompt tokens found in the prefix cache.
     std::string m_finish; ///< "stop" or "length".
     Micros m_prefill{ 0 };
@@ -31,7 +31,8 @@
 
 using EngineFrame = std::variant<TokenFrame, PrefillFrame, FinalFrame>;
 
-/// Parses one frame's JSON, and checks that it belongs to @p attempt.
+/// Parses the JSON of one frame. A malformed frame or one of an attempt other than @p attempt is a
+/// ProtocolError.
 Result<EngineFrame> parseEngineFrame(std::string_view json, const AttemptId &attempt);
 
 } // namespace stackquay
--- a/endpoint/engine_stream.cpp
+++ b/endpoint/engine_stream.cpp
@@ -65,23 +65,23 @@
     m_attempt = attempt.m_attempt;
     m_position = attempt.m_skip;
     const TimePoint deadline = Clock::now() + timeout;
-    const auto left = [&] { return std::max<Duration>(deadline - Clock::now(), Millis(1)); };
+    const auto remaining = [&] { return std::max<Duration>(deadline - Clock::now(), Millis(1)); };
     const HttpRequest request{ "POST", "/v1/completions", jsonHeaders(), attemptBody(attempt) };
-    auto connection = m_pool.acquire(m_address, left());
+    auto connection = m_pool.acquire(m_address, remaining());
     if (!connection)
         return tl::unexpected(StartFailure{ true, "", connection.error() });
     m_connection = std::move(*connection);
     if (m_cancelled)
         return tl::unexpected(failure(true, "", ErrorCode::Cancelled, "cancelled"));
-    const Status sent = m_connection->send(request, left());
+    const Status sent = m_connection->send(request, remaining());
     if (!sent)
         return tl::unexpected(StartFailure{ m_connection->bytesSent() == 0, "", sent.error() });
-    const auto header = m_connection->readHeader(left());
+    const auto header = m_connection->readHeader(remaining());
     if (!header)
         return tl::unexpected(StartFailure{ false, "", header.error() });
     if (header->m_status == StatusOk)
         return {};
-    return tl::unexpected(refusal(*header, left()));
+    return tl::unexpected(refusal(*header, remaining()));
 }
 
 StartFailure EngineStream::refusal(const HttpResponse &header, Duration timeout)
@@ -130,29 +130,32 @@
             auto frame = parseEngineFrame(*event, m_attempt);
             if (!frame)
                 return tl::unexpected(close(frame.error()));
-            bool repeated = false;
-            auto accepted = accept(std::move(*frame), repeated);
-            if (!repeated)
+            bool duplicate = false;
+            auto accepted = accept(std::move(*frame), duplicate);
+            if (!duplicate)
                 return accepted;
         }
         if (m_reader.pending() > MaxEventBytes)
-            return tl::unexpected(close({ ErrorCode::ProtocolError, "event too long" }));
-        const Status read = m_connection->readBody(m_piece, timeout);
+            return tl::unexpected(
+                close({ ErrorCode::ProtocolError, "event exceeds the size limit" }));
+        const Status read = m_connection->readBody(m_readBuffer, timeout);
         if (!read)
             return tl::unexpected(read.error());
-        if (m_piece.empty())
-            return tl::unexpected(close({ ErrorCode::Unavailable, "ended without a final frame" }));
-        m_reader.feed(m_piece);
+        if (m_readBuffer.empty())
+            return tl::unexpected(
+                close({ ErrorCode::Unavailable, "stream ended without a final frame" }));
+        m_reader.feed(m_readBuffer);
     }
 }
 
-Result<EngineFrame> EngineStream::accept(EngineFrame frame, bool &repeated)
+Result<EngineFrame> EngineStream::accept(EngineFrame frame, bool &duplicate)
 {
     if (const auto *final = std::get_if<FinalFrame>(&frame)) {
         if (final->m_tokens != m_position)
-            return tl::unexpected(close(
-                { ErrorCode::ProtocolError, fmt::format("final frame counts {} tokens, {} came",
-                                                        final->m_tokens, m_position) }));
+            return tl::unexpected(
+                close({ ErrorCode::ProtocolError,
+                        fmt::format("final frame counts {} tokens, {} were received",
+                                    final->m_tokens, m_position) }));
         m_ended = true;
         return frame;
     }
@@ -164,12 +167,13 @@
     if (tokens->m_index > m_position)
         return tl::unexpected(
             close({ ErrorCode::ProtocolError,
-                    fmt::format("gap: token {} came, {} expected", tokens->m_index, m_position) }));
+                    fmt::format("gap in the stream: received token {}, expected {}",
+                                tokens->m_index, m_position) }));
     const uint64_t end = tokens->m_index + tokens->m_count;
-    repeated = end <= m_position;
-    if (repeated)
+    duplicate = end <= m_position;
+    if (duplicate)
         return frame;
-    // The text of part of a frame cannot be told apart: resume from the position instead.
+    // The text of a frame cannot be split by tokens: the stream has to be resumed from m_position.
     if (tokens->m_index < m_position)
         return tl::unexpected(close({ ErrorCode::ProtocolError, "frames overlap" }));
     m_position = end;
@@ -194,9 +198,9 @@
 {
     if (!m_connection || !m_ended)
         return;
-    // Takes in the end of the chunked body, which makes the connection reusable.
-    const Status end = m_connection->readBody(m_piece, Seconds(1));
-    if (end && m_piece.empty())
+    // Reads the end of the chunked body, after which the connection can be reused.
+    const Status end = m_connection->readBody(m_readBuffer, Seconds(1));
+    if (end && m_readBuffer.empty())
         m_pool.release(m_address, std::move(m_connection));
 }
 
--- a/endpoint/engine_stream.h
+++ b/endpoint/engine_stream.h
@@ -1,8 +1,8 @@
-/// One attempt at a model engine: sends the prompt and reads its frames in order.
+/// Client of one attempt on a model engine: sends the prompt and reads the frames in order.
 ///
-/// Frames of another attempt, gaps and malformed frames close the connection: the caller then
-/// resumes from position() on the same engine, or starts another attempt. Repeated tokens are
-/// dropped.
+/// A gap, a malformed frame or a frame of another attempt closes the connection. The user of the
+/// class then resumes from position() on the same engine, or starts another attempt. Duplicate
+/// frames are dropped.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace stackquay {
 
-/// What is asked of an engine.
+/// Parameters of an attempt.
 struct EngineAttempt {
     AttemptId m_attempt;
     ModelId m_model;
@@ -22,15 +22,15 @@
     std::string_view m_prompt; ///< Must outlive the attempt.
     uint64_t m_maxTokens = 0;
     int m_priority = 0;
-    std::string m_owner; ///< "vm:incarnation", which holds the engine's memory.
-    uint64_t m_skip = 0; ///< Tokens of the answer that the caller already has.
+    std::string m_owner; ///< "vm:incarnation" for which the engine reserves memory.
+    uint64_t m_skip = 0; ///< Output tokens that the client already has.
     bool m_prefillOnly = false;
-    uint64_t m_prefillLimit = 0; ///< Most tokens to compute; 0: the whole prompt.
+    uint64_t m_prefillLimit = 0; ///< Max prompt tokens to compute; 0: all.
 };
 
-/// Why an attempt did not start to answer.
+/// Why an attempt did not start to stream.
 struct StartFailure {
-    bool m_notRun = false; ///< True only if the engine said so or no byte left.
+    bool m_notRun = false; ///< True only if the engine reported it or no byte was sent.
     std::string m_reason; ///< The engine's reason, such as "no_memory"; else empty.
     Error m_error;
 };
@@ -41,27 +41,29 @@
     EngineStream(HttpPool &pool, Address address);
     ~EngineStream();
 
-    /// Sends the attempt and reads the answer's header.
+    /// Sends the attempt and reads the response's header.
     tl::expected<void, StartFailure> start(const EngineAttempt &attempt, Duration timeout);
-    /// Connects again to the attempt at position(). NotFound: the engine no longer has it.
+    /// Reconnects to the attempt at position(). NotFound: the engine no longer has the attempt.
     Status resume(Duration timeout);
-    /// The next frame. Unavailable or ProtocolError: the connection is gone, resume() may help.
+    /// Waits for the next frame. After Unavailable or ProtocolError the connection is closed, and
+    /// resume() can be tried.
     Result<EngineFrame> next(Duration timeout);
     /// Whether next() would return without waiting.
     bool ready() const { return m_reader.ready(); }
     /// Closes the connection from another fiber; next() then returns Cancelled.
     void cancel();
-    /// Gives the connection back if the stream ended well.
+    /// Returns the connection to the pool if the stream has ended without an error.
     void release();
 
     const Address &address() const { return m_address; }
     const AttemptId &attempt() const { return m_attempt; }
     /// Position of the next token expected.
     uint64_t position() const { return m_position; }
+    /// Whether the last frame has been read.
     bool ended() const { return m_ended; }
 
 private:
-    Result<EngineFrame> accept(EngineFrame frame, bool &repeated);
+    Result<EngineFrame> accept(EngineFrame frame, bool &duplicate);
     StartFailure refusal(const HttpResponse &header, Duration timeout);
     Error close(Error error);
 
@@ -70,13 +72,13 @@
     AttemptId m_attempt;
     std::unique_ptr<HttpConnection> m_connection;
     SseReader m_reader;
-    std::string m_piece;
+    std::string m_readBuffer;
     uint64_t m_position = 0;
     bool m_ended = false;
     bool m_cancelled = false;
 };
 
-/// Tells the engine to stop an attempt and free its memory. True if it had been running.
+/// Tells the engine to stop an attempt and free its memory. Returns whether it was running.
 Result<bool> cancelAttempt(HttpPool &pool, const Address &address, const AttemptId &attempt,
                            Duration timeout);
 
--- a/endpoint/service_call.cpp
+++ b/endpoint/service_call.cpp
@@ -12,18 +12,18 @@
     return tl::unexpected(ServiceFailure{ notRun, std::move(error) });
 }
 
-/// Sends the call and reads its whole answer.
+/// Sends the call and reads the whole response.
 tl::expected<HttpResponse, ServiceFailure> exchange(HttpConnection &connection,
                                                     const HttpRequest &request, TimePoint deadline)
 {
-    const auto left = [&] { return std::max<Duration>(deadline - Clock::now(), Millis(1)); };
-    const Status sent = connection.send(request, left());
+    const auto remaining = [&] { return std::max<Duration>(deadline - Clock::now(), Millis(1)); };
+    const Status sent = connection.send(request, remaining());
     if (!sent)
         return fail(connection.bytesSent() == 0, sent.error());
-    auto response = connection.readHeader(left());
+    auto response = connection.readHeader(remaining());
     if (!response)
         return fail(false, response.error());
-    auto body = connection.readWhole(left());
+    auto body = connection.readWhole(remaining());
     if (!body)
         return fail(false, body.error());
     response->m_body = std::move(*body);
@@ -32,33 +32,35 @@
 
 } // namespace
 
-void ServiceCallBreaker::cancel()
+void ServiceCallCancellation::cancel()
 {
     m_cancelled = true;
     if (m_connection)
         m_connection->cancel();
 }
 
-tl::expected<HttpResponse, ServiceFailure>
-callService(HttpPool &pool, const Address &address, ServiceCall call, ServiceCallBreaker &breaker)
+tl::expected<HttpResponse, ServiceFailure> callService(HttpPool &pool, const Address &address,
+                                                       ServiceCall call,
+                                                       ServiceCallCancellation &cancellation)
 {
     const TimePoint deadline = Clock::now() + call.m_timeout;
     call.m_request.m_headers.push_back({ std::string(AttemptHeader), call.m_attempt.str() });
     auto connection = pool.acquire(address, call.m_timeout, !call.m_repeatable);
     if (!connection)
         return fail(true, connection.error());
-    if (breaker.cancelled())
+    if (cancellation.cancelled())
         return fail(true, { ErrorCode::Cancelled, "cancelled" });
-    breaker.setConnection(connection->get());
+    cancellation.setConnection(connection->get());
     auto response = exchange(**connection, call.m_request, deadline);
-    breaker.setConnection(nullptr);
+    cancellation.setConnection(nullptr);
     if (!response)
         return response;
     pool.release(address, std::move(*connection));
     if (findHeader(response->m_headers, NotRunHeader) == "yes")
-        return fail(true, { ErrorCode::Unavailable, "service says that it did not run the call" });
+        return fail(true,
+                    { ErrorCode::Unavailable, "service reported that it did not run the call" });
     if (findHeader(response->m_headers, AttemptHeader) != call.m_attempt.str())
-        return fail(false, { ErrorCode::ProtocolError, "answer of another attempt" });
+        return fail(false, { ErrorCode::ProtocolError, "response belongs to another attempt" });
     return std::move(*response);
 }
 
--- a/endpoint/service_call.h
+++ b/endpoint/service_call.h
@@ -1,4 +1,4 @@
-/// One call of a plain service.
+/// Client of plain services.
 #pragma once
 
 #include "net/net.h"
@@ -6,25 +6,26 @@
 namespace stackquay {
 
 struct ServiceCall {
-    HttpRequest m_request; ///< Target and headers as the service gets them.
+    HttpRequest m_request; ///< Target and headers as sent to the service.
     AttemptId m_attempt;
-    bool m_repeatable = true;
+    bool m_repeatable = true; ///< False: sent on a new connection.
     Duration m_timeout = Seconds(30);
 };
 
 struct ServiceFailure {
-    bool m_notRun = false; ///< True only if the service said so or no byte left.
+    bool m_notRun = false; ///< True only if the service reported it or no byte was sent.
     Error m_error;
 };
 
-/// Breaks a call off from another fiber of its thread.
-class ServiceCallBreaker
+/// Cancels a call from another fiber of the same thread.
+class ServiceCallCancellation
 {
 public:
-    /// The call returns Cancelled. One that connects returns once it is connected.
+    /// Makes the call return Cancelled. A call that is still connecting returns once it is
+    /// connected.
     void cancel();
     bool cancelled() const { return m_cancelled; }
-    /// The connection that the call is on; null before and after.
+    /// Sets the connection that the call uses; null while there is none.
     void setConnection(HttpConnection *connection) { m_connection = connection; }
 
 private:
@@ -32,8 +33,10 @@
     bool m_cancelled = false;
 };
 
-/// Sends the call once; a call that is not repeatable goes on a fresh connection.
-tl::expected<HttpResponse, ServiceFailure>
-callService(HttpPool &pool, const Address &address, ServiceCall call, ServiceCallBreaker &breaker);
+/// Sends the call once and waits for the whole response. A call that is not repeatable uses a new
+/// connection.
+tl::expected<HttpResponse, ServiceFailure> callService(HttpPool &pool, const Address &address,
+                                                       ServiceCall call,
+                                                       ServiceCallCancellation &cancellation);
 
 } // namespace stackquay
--- a/endpoint/sse_reader.cpp
+++ b/endpoint/sse_reader.cpp
@@ -9,11 +9,11 @@
 
 } // namespace
 
-void SseReader::feed(std::string_view piece)
+void SseReader::feed(std::string_view bytes)
 {
     m_buffer.erase(0, m_position);
     m_position = 0;
-    m_buffer.append(piece);
+    m_buffer.append(bytes);
 }
 
 bool SseReader::ready() const
--- a/endpoint/sse_reader.h
+++ b/endpoint/sse_reader.h
@@ -1,4 +1,4 @@
-/// Splits a stream of server-sent events into the data of each event.
+/// Parser of server-sent events.
 #pragma once
 
 #include <optional>
@@ -7,16 +7,17 @@
 
 namespace stackquay {
 
-/// Feed pieces of any size; take whole events. Only `data:` fields are kept.
+/// Collects bytes in pieces of any size and returns the data of complete events. Events that do not
+/// start with a `data:` field are skipped.
 class SseReader
 {
 public:
-    void feed(std::string_view piece);
-    /// The data of the next whole event. Valid until the next feed().
+    void feed(std::string_view bytes);
+    /// The data of the next complete event, valid until the next feed(); nothing if there is none.
     std::optional<std::string_view> next();
-    /// Whether next() has a whole event.
+    /// Whether the buffer holds a complete event.
     bool ready() const;
-    /// Bytes of events not yet taken.
+    /// Buffered bytes that next() has not returned yet.
     size_t pending() const { return m_buffer.size() - m_position; }
 
 private:
--- a/tests/endpoint/sse_reader_test.cpp
+++ b/tests/endpoint/sse_reader_test.cpp
@@ -5,14 +5,14 @@
 namespace stackquay {
 namespace {
 
-TEST(SseReaderTest, EventsSplitAnywhereComeWhole)
+TEST(SseReaderTest, ReassemblesEventsSplitAtAnyByte)
 {
     const std::string text = "data: one\n\n: comment\n\ndata:two\n\n";
     for (size_t cut = 0; cut <= text.size(); ++cut) {
         SseReader reader;
         std::vector<std::string> events;
-        for (const std::string &piece : { text.substr(0, cut), text.substr(cut) }) {
-            reader.feed(piece);
+        for (const std::string &bytes : { text.substr(0, cut), text.substr(cut) }) {
+            reader.feed(bytes);
             while (const auto event = reader.next())
                 events.emplace_back(*event);
         }
@@ -20,7 +20,7 @@
     }
 }
 
-TEST(SseReaderTest, HalfAnEventIsNotReady)
+TEST(SseReaderTest, IncompleteEventIsNotReady)
 {
     SseReader reader;
     reader.feed("data: x\n");
@@ -48,7 +48,7 @@
     EXPECT_EQ(std::get<FinalFrame>(*final).m_finish, "stop");
 }
 
-TEST(EngineFrameTest, RefusesForeignAndMalformedFrames)
+TEST(EngineFrameTest, RejectsMalformedFramesAndThoseOfOtherAttempts)
 {
     const AttemptId attempt("a1");
     for (const char *json : { "", "[]", "{", R"({"index":0,"text":"x","n":1})",
