--- a/entry/grant_messages.h
+++ b/entry/grant_messages.h
@@ -1,6 +1,6 @@
-/// Calls between the node that holds a request and the steward of an endpoint's shard.
+/// RPC messages between the node that runs a request and the steward of an endpoint's shard.
 ///
-/// Times go as durations, since clocks of two VMs have nothing in common.
+/// Times are sent as durations because the clocks of two VMs are not synchronized.
 #pragma once
 
 #include "peers/peers.h"
@@ -8,15 +8,15 @@
 
 namespace stackquay {
 
-/// A steward's answer to AskGrant.
+/// Reply to AskGrant.
 struct GrantReply {
     uint32_t m_answer = 0; ///< A GrantAnswer.
     EndpointId m_endpoint;
     GrantId m_grant;
-    uint64_t m_cachedTokens = 0; ///< Of the prompt, as the steward believes.
-    uint64_t m_chunkTokens = 0;
-    uint64_t m_predictedWaitUs = 0;
-    uint32_t m_error = 0; ///< A RequestError, for refusals.
+    uint64_t m_cachedTokens = 0; ///< Prompt tokens in the engine's cache, as estimated.
+    uint64_t m_chunkTokens = 0; ///< Max tokens of the first prefill chunk; 0: no limit.
+    uint64_t m_predictedWaitUs = 0; ///< If Waiting or Busy.
+    uint32_t m_error = 0; ///< A RequestError, if refused.
     std::string m_message;
     uint64_t m_retryAfterMs = 0;
 
@@ -24,32 +24,34 @@
                    m_error, m_message, m_retryAfterMs)
 };
 
-/// Asks for an endpoint. Idempotent by request: asked again while it waits, it waits on.
+/// Requests an endpoint. Idempotent by m_request: a repeated call does not change the request's
+/// place in the queue.
 struct AskGrant {
     using Reply = GrantReply;
     static constexpr std::string_view RpcName = "grant.ask";
 
-    std::string m_shard; ///< As named by shardKey(); a steward that does not hold it refuses.
+    std::string m_shard; ///< From shardKey(). A VM that does not hold the shard replies NotFound.
     RequestId m_request;
     AttemptId m_attempt;
-    VmId m_holder;
+    VmId m_holder; ///< The VM that runs the request.
     CustomerId m_customer;
     ModelId m_model;
     int m_priority = 0;
-    double m_weight = 1;
+    double m_weight = 1; ///< The customer's weight in fair scheduling.
     RequestNeed m_need;
     std::vector<EndpointId> m_excluded;
-    bool m_mayWait = true;
-    uint64_t m_waitedUs = 0; ///< Since the request's arrival.
-    uint64_t m_leftUs = 0; ///< Until its deadline.
+    bool m_mayWait = true; ///< False: reply Busy instead of queueing.
+    uint64_t m_waitedUs = 0; ///< Time since the request arrived.
+    uint64_t m_remainingUs = 0; ///< Time until the request's deadline.
 
     MSGPACK_DEFINE(m_shard, m_request, m_attempt, m_holder, m_customer, m_model, m_priority,
-                   m_weight, m_need, m_excluded, m_mayWait, m_waitedUs, m_leftUs)
+                   m_weight, m_need, m_excluded, m_mayWait, m_waitedUs, m_remainingUs)
 };
 
-struct GrantNoted {
-    bool m_known = false; ///< False: the grant is void.
-    uint64_t m_chunkTokens = 0; ///< After a chunk: the next one's size.
+/// Reply to GrantUpdate.
+struct GrantUpdateReply {
+    bool m_known = false; ///< False: the grant is not valid (any more).
+    uint64_t m_chunkTokens = 0; ///< ChunkDone: max tokens of the next chunk.
 
     MSGPACK_DEFINE(m_known, m_chunkTokens)
 };
@@ -59,30 +61,30 @@
     ChunkDone,
     FirstToken,
     Finished,
-    NotWaiting, ///< The caller of a waiting request is gone.
+    NotWaiting, ///< A queued request was cancelled.
 };
 
-/// Tells the steward what became of a grant.
-struct NoteGrant {
-    using Reply = GrantNoted;
+/// Reports the progress of a grant to the steward.
+struct GrantUpdate {
+    using Reply = GrantUpdateReply;
     static constexpr std::string_view RpcName = "grant.note";
 
     uint32_t m_step = 0; ///< A GrantStep.
     GrantId m_grant;
     RequestId m_request;
-    uint64_t m_leftUs = 0; ///< Started: until the request's deadline.
-    uint64_t m_prefilledTokens = 0; ///< ChunkDone.
-    uint32_t m_end = 0; ///< Finished: an AttemptEnd.
+    uint64_t m_remainingUs = 0; ///< Started: time until the request's deadline.
+    uint64_t m_prefilledTokens = 0; ///< ChunkDone: prompt tokens prefilled so far.
+    uint32_t m_end = 0; ///< Finished: an AttemptEnd. The members below are of Finished, too.
     uint64_t m_cachedTokens = 0;
     uint64_t m_prefillUs = 0;
     uint64_t m_decodeUs = 0;
     uint64_t m_outputTokens = 0;
 
-    MSGPACK_DEFINE(m_step, m_grant, m_request, m_leftUs, m_prefilledTokens, m_end, m_cachedTokens,
-                   m_prefillUs, m_decodeUs, m_outputTokens)
+    MSGPACK_DEFINE(m_step, m_grant, m_request, m_remainingUs, m_prefilledTokens, m_end,
+                   m_cachedTokens, m_prefillUs, m_decodeUs, m_outputTokens)
 };
 
-/// The whole microseconds of a duration, not below zero.
+/// Converts to whole microseconds; a negative duration gives 0.
 uint64_t toMicros(Duration duration);
 
 } // namespace stackquay
--- a/entry/placement.cpp
+++ b/entry/placement.cpp
@@ -12,35 +12,37 @@
 namespace {
 
 constexpr Millis NoEndpointRetryAfter{ 1'000 };
-/// A steward answers within its own wait slice, or is taken for lost.
+/// Longer than a steward's own wait slice; a steward that has not replied by then is considered
+/// lost.
 constexpr Millis AskTimeout{ 1'500 };
-constexpr Millis NoteTimeout{ 500 };
-constexpr size_t MostStewards = 3; ///< Asked for one request.
-constexpr uint32_t FallbackConcurrency = 4; ///< Per endpoint and node.
+constexpr Millis UpdateTimeout{ 500 };
+constexpr size_t MaxStewards = 3; ///< Stewards asked for one request.
+constexpr uint32_t FallbackConcurrency = 4; ///< Attempts in flight per endpoint and node.
 
-Refusal noEndpoint(const PlacementRequest &request)
+Refusal noEndpointRefusal(const PlacementRequest &request)
 {
-    Refusal refusal = refuseNotRun(
-        RequestError::NoCapacity,
-        fmt::format("no endpoint of model '{}' can take the request", request.m_model.str()));
+    Refusal refusal =
+        refuseNotRun(RequestError::NoCapacity,
+                     fmt::format("no endpoint of model '{}' is available", request.m_model.str()));
     refusal.m_retryAfter = NoEndpointRetryAfter;
     return refusal;
 }
 
-/// Sends a note without waiting. A lost one costs the steward's accuracy until the grant expires.
-void sendNote(TrafficWorker &worker, const Address &steward, NoteGrant note)
+/// Sends an update without waiting for the reply. If it is lost, the steward's accounting is off
+/// until the grant expires.
+void sendGrantUpdate(TrafficWorker &worker, const Address &steward, GrantUpdate update)
 {
-    spawnFiber([&worker, steward, note = std::move(note)] {
-        const auto noted = worker.peers().call(steward, note, NoteTimeout);
-        if (!noted)
+    spawnFiber([&worker, steward, update = std::move(update)] {
+        const auto reply = worker.peers().call(steward, update, UpdateTimeout);
+        if (!reply)
             log(LogPart::Entry)
-                .debug("Note was lost. steward={} error={}", toString(steward),
-                       noted.error().m_message);
+                .debug("Grant update was not delivered. steward={} error={}", toString(steward),
+                       reply.error().m_message);
     });
 }
 
-std::optional<size_t> choose(TrafficWorker &worker, const std::vector<EndpointView> &views,
-                             const PlacementRequest &request)
+std::optional<size_t> chooseByPolicy(TrafficWorker &worker, const std::vector<EndpointView> &views,
+                                     const PlacementRequest &request)
 {
     const TimePoint now = Clock::now();
     if (worker.node().m_settings.m_policy == RoutingPolicy::RoundRobin)
@@ -48,19 +50,20 @@
     return chooseLeastReported(views, request.m_excluded, now, worker.random());
 }
 
-tl::expected<Placement, Refusal> placeAlone(TrafficWorker &worker, const ModelRoute &route,
-                                            const PlacementRequest &request)
+tl::expected<Placement, Refusal> placeByReportedLoad(TrafficWorker &worker, const ModelRoute &route,
+                                                     const PlacementRequest &request)
 {
     Node &node = worker.node();
     const auto views = node.m_endpoints.views(route.m_endpoints);
-    const auto index = choose(worker, views, request);
+    const auto index = chooseByPolicy(worker, views, request);
     if (!index)
-        return tl::unexpected(noEndpoint(request));
+        return tl::unexpected(noEndpointRefusal(request));
     const EndpointRoute &endpoint = route.m_endpoints[*index];
     return Placement{ endpoint.m_id, endpoint.m_address, 0, std::nullopt };
 }
 
-/// Without a steward a node sees almost none of the load, so it takes little.
+/// Without a steward, a node sees only its own share of the load, so it limits its attempts in
+/// flight to FallbackConcurrency per endpoint.
 tl::expected<Placement, Refusal> placeWithoutSteward(TrafficWorker &worker, const ModelRoute &route,
                                                      const PlacementRequest &request)
 {
@@ -69,7 +72,7 @@
     const auto views = node.m_endpoints.views(route.m_endpoints);
     const auto index = chooseBetterOfTwo(views, request.m_excluded, Clock::now(), worker.random());
     if (!index || views[*index].m_ownInFlight >= FallbackConcurrency)
-        return tl::unexpected(noEndpoint(request));
+        return tl::unexpected(noEndpointRefusal(request));
     const EndpointRoute &endpoint = route.m_endpoints[*index];
     return Placement{ endpoint.m_id, endpoint.m_address, 0, std::nullopt };
 }
@@ -88,11 +91,11 @@
     message.m_need = request.m_need;
     message.m_excluded = request.m_excluded;
     message.m_waitedUs = toMicros(now - request.m_arrived);
-    message.m_leftUs = toMicros(request.m_deadline - now);
+    message.m_remainingUs = toMicros(request.m_deadline - now);
     return message;
 }
 
-/// One steward that may be asked.
+/// A steward that can be asked for a grant.
 struct StewardRoute {
     std::string m_shard;
     Address m_address;
@@ -118,8 +121,9 @@
         placement.m_grant = HeldGrant{ reply.m_grant, steward, reply.m_cachedTokens };
         return placement;
     }
-    // The steward's view is newer or older than ours; a later try will agree.
-    return tl::unexpected(refuseNotRun(RequestError::NoCapacity, "endpoint is not known here"));
+    // The steward's routing view has another revision than ours; a later attempt finds them equal.
+    return tl::unexpected(refuseNotRun(RequestError::NoCapacity,
+                                       "the granted endpoint is not in this VM's configuration"));
 }
 
 Refusal toRefusal(const GrantReply &reply)
@@ -135,13 +139,14 @@
     std::vector<StewardRoute> stewards;
     for (const std::string &shard : shardsForPrompt(route, request.m_need.m_prefix, spread)) {
         const PeerRoute *holder = shardHolder(view, shard);
-        if (holder && stewards.size() < MostStewards)
+        if (holder && stewards.size() < MaxStewards)
             stewards.push_back({ shard, holder->m_peer, {} });
     }
     return stewards;
 }
 
-/// Waits at one steward until it decides, the deadline passes or the wait is cancelled.
+/// Waits in the queue of one steward until it decides, the deadline passes or the wait is
+/// cancelled.
 tl::expected<Placement, Refusal> waitAtSteward(TrafficWorker &worker, const ModelRoute &route,
                                                const PlacementRequest &request,
                                                const StewardRoute &steward, PlacementWait &wait)
@@ -153,8 +158,8 @@
             break;
         if (!reply) {
             log(LogPart::Entry)
-                .debug("Steward does not answer. steward={} error={}", toString(steward.m_address),
-                       reply.error().m_message);
+                .debug("Steward does not reply; placing without it. steward={} error={}",
+                       toString(steward.m_address), reply.error().m_message);
             return placeWithoutSteward(worker, route, request);
         }
         if (static_cast<GrantAnswer>(reply->m_answer) == GrantAnswer::Granted)
@@ -163,7 +168,7 @@
             return tl::unexpected(toRefusal(*reply));
     }
     if (threadStopping())
-        return tl::unexpected(endingRefusal(Outcome::RefusedNotRun));
+        return tl::unexpected(shutdownRefusal(Outcome::RefusedNotRun));
     return tl::unexpected(
         refuseNotRun(RequestError::DeadlineExceeded, "no endpoint was free before the deadline"));
 }
@@ -174,11 +179,13 @@
 {
     const RoutingViewPtr view = worker.node().m_view.get();
     auto stewards = stewardsFor(*view, route, request, worker.random()());
-    if (stewards.empty()) // No VM of the data centre stays.
+    if (stewards.empty()) // No VM of the data centre can be a steward.
         return placeWithoutSteward(worker, route, request);
     if (stewards.size() == 1)
         return waitAtSteward(worker, route, request, stewards.front(), wait);
-    // The shard with the prompt's prefix first; a busy one is passed over.
+    // Asks first the shard whose engines may have the prompt's prefix in their cache. A steward
+    // that would have to queue the request is skipped; if all would, the shortest predicted wait
+    // decides.
     for (StewardRoute &steward : stewards) {
         const auto reply = askSteward(worker, request, steward, false);
         if (reply && static_cast<GrantAnswer>(reply->m_answer) == GrantAnswer::Granted)
@@ -193,7 +200,8 @@
     return waitAtSteward(worker, route, request, *best, wait);
 }
 
-bool isOwnRefusal(AttemptEnd end)
+/// Whether the attempt ended by a refusal or a cancellation, neither of which counts as a failure.
+bool isNotEndpointFault(AttemptEnd end)
 {
     return end == AttemptEnd::NoMemory || end == AttemptEnd::QueueFull
            || end == AttemptEnd::Draining || end == AttemptEnd::ModelNotLoaded
@@ -206,8 +214,8 @@
                                        const PlacementRequest &request, PlacementWait &wait)
 {
     const bool steward = worker.node().m_settings.m_policy == RoutingPolicy::Steward;
-    auto placement =
-        steward ? placeBySteward(worker, route, request, wait) : placeAlone(worker, route, request);
+    auto placement = steward ? placeBySteward(worker, route, request, wait)
+                             : placeByReportedLoad(worker, route, request);
     wait.m_steward.reset();
     if (placement)
         worker.node().m_endpoints.noteStarted(placement->m_endpoint);
@@ -219,10 +227,10 @@
     wait.m_cancelled = true;
     if (!wait.m_steward)
         return;
-    NoteGrant note;
-    note.m_step = static_cast<uint32_t>(GrantStep::NotWaiting);
-    note.m_request = request;
-    sendNote(worker, *wait.m_steward, std::move(note));
+    GrantUpdate update;
+    update.m_step = static_cast<uint32_t>(GrantStep::NotWaiting);
+    update.m_request = request;
+    sendGrantUpdate(worker, *wait.m_steward, std::move(update));
 }
 
 void endPlacement(TrafficWorker &worker, const Placement &placement, const AttemptReport &report)
@@ -231,42 +239,43 @@
     endpoints.noteEnded(placement.m_endpoint);
     if (report.m_end == AttemptEnd::Complete)
         endpoints.noteSuccess(placement.m_endpoint);
-    else if (!isOwnRefusal(report.m_end))
+    else if (!isNotEndpointFault(report.m_end))
         endpoints.noteFailure(placement.m_endpoint, Clock::now());
     if (!placement.m_grant)
         return;
-    NoteGrant note;
-    note.m_step = static_cast<uint32_t>(GrantStep::Finished);
-    note.m_grant = placement.m_grant->m_id;
-    note.m_end = static_cast<uint32_t>(report.m_end);
-    note.m_cachedTokens = report.m_cachedTokens;
-    note.m_prefillUs = toMicros(report.m_prefill);
-    note.m_decodeUs = toMicros(report.m_decode);
-    note.m_outputTokens = report.m_outputTokens;
-    sendNote(worker, placement.m_grant->m_steward, std::move(note));
+    GrantUpdate update;
+    update.m_step = static_cast<uint32_t>(GrantStep::Finished);
+    update.m_grant = placement.m_grant->m_id;
+    update.m_end = static_cast<uint32_t>(report.m_end);
+    update.m_cachedTokens = report.m_cachedTokens;
+    update.m_prefillUs = toMicros(report.m_prefill);
+    update.m_decodeUs = toMicros(report.m_decode);
+    update.m_outputTokens = report.m_outputTokens;
+    sendGrantUpdate(worker, placement.m_grant->m_steward, std::move(update));
 }
 
-void notePlacement(TrafficWorker &worker, const Placement &placement, GrantStep step, Duration left)
+void reportGrantStep(TrafficWorker &worker, const Placement &placement, GrantStep step,
+                     Duration remaining)
 {
     if (!placement.m_grant)
         return;
-    NoteGrant note;
-    note.m_step = static_cast<uint32_t>(step);
-    note.m_grant = placement.m_grant->m_id;
-    note.m_leftUs = toMicros(left);
-    sendNote(worker, placement.m_grant->m_steward, std::move(note));
+    GrantUpdate update;
+    update.m_step = static_cast<uint32_t>(step);
+    update.m_grant = placement.m_grant->m_id;
+    update.m_remainingUs = toMicros(remaining);
+    sendGrantUpdate(worker, placement.m_grant->m_steward, std::move(update));
 }
 
 uint64_t nextChunk(TrafficWorker &worker, const Placement &placement, uint64_t prefilledTokens)
 {
     if (!placement.m_grant)
         return placement.m_chunkTokens;
-    NoteGrant note;
-    note.m_step = static_cast<uint32_t>(GrantStep::ChunkDone);
-    note.m_grant = placement.m_grant->m_id;
-    note.m_prefilledTokens = prefilledTokens;
-    const auto noted = worker.peers().call(placement.m_grant->m_steward, note, NoteTimeout);
-    return noted && noted->m_known ? noted->m_chunkTokens : placement.m_chunkTokens;
+    GrantUpdate update;
+    update.m_step = static_cast<uint32_t>(GrantStep::ChunkDone);
+    update.m_grant = placement.m_grant->m_id;
+    update.m_prefilledTokens = prefilledTokens;
+    const auto reply = worker.peers().call(placement.m_grant->m_steward, update, UpdateTimeout);
+    return reply && reply->m_known ? reply->m_chunkTokens : placement.m_chunkTokens;
 }
 
 } // namespace stackquay
--- a/entry/routing_view.cpp
+++ b/entry/routing_view.cpp
@@ -11,8 +11,8 @@
     return std::find(endpoints.begin(), endpoints.end(), id) != endpoints.end();
 }
 
-/// An engine counts in the shards of the first model that it may serve, so that a model's engines
-/// are together in as few shards as possible.
+/// Number of shards of each model. An engine belongs to a shard of the first model that it serves,
+/// so that a model's engines are spread over as few shards as possible.
 using ShardCounts = std::unordered_map<ModelId, uint32_t>;
 
 ShardCounts countShards(const Intent &intent, const DataCentreId &dataCentre)
@@ -42,7 +42,9 @@
 {
     const auto address = parseAddress(endpoint.m_address);
     if (!address) {
-        log(LogPart::Entry).warn("Endpoint address is unusable. endpoint={}", endpoint.m_id.str());
+        log(LogPart::Entry)
+            .warn("Endpoint address is invalid; ignoring the endpoint. endpoint={}",
+                  endpoint.m_id.str());
         return;
     }
     const EndpointRoute route{ endpoint.m_id, *address, endpoint.m_draining || leaving,
--- a/entry/routing_view.h
+++ b/entry/routing_view.h
@@ -1,4 +1,4 @@
-/// What traffic threads see of the control state: one immutable snapshot, replaced as a whole.
+/// Immutable snapshot of the control state for traffic threads, replaced as a whole on each change.
 #pragma once
 
 #include <atomic>
@@ -11,12 +11,12 @@
 
 namespace stackquay {
 
-/// An endpoint of the own data centre.
+/// An endpoint of this data centre.
 struct EndpointRoute {
     EndpointId m_id;
     Address m_address;
-    bool m_draining = false; ///< Gets no new work.
-    std::string m_shard; ///< Engines: the key of the shard that they belong to.
+    bool m_draining = false; ///< Gets no new requests.
+    std::string m_shard; ///< Engines: key of the shard to which they belong.
 };
 
 struct ModelRoute {
@@ -29,10 +29,10 @@
     std::vector<EndpointRoute> m_endpoints; ///< Ordered by id.
 };
 
-/// A live VM of the own data centre.
+/// A live VM of this data centre.
 struct PeerRoute {
     VmId m_id;
-    Address m_peer; ///< For calls between daemons.
+    Address m_peer; ///< Address for RPC between daemons.
 };
 
 struct RoutingView {
@@ -44,26 +44,28 @@
     std::unordered_map<ServiceId, ServiceRoute> m_services;
     std::unordered_map<std::string, Customer> m_customersByKeyHash;
 
+    // Each returns null if there is no match.
     const ModelRoute *findModel(const ModelId &id) const;
     const ServiceRoute *findService(const ServiceId &id) const;
+    /// Finds the customer by its plain bearer key.
     const Customer *findCustomer(std::string_view key) const;
 };
 
 using RoutingViewPtr = std::shared_ptr<const RoutingView>;
 
-/// What is known of endpoints besides the intent: those reported as leaving by any source.
+/// Endpoints that drain according to any source other than the intent.
 using LeavingEndpoints = std::vector<EndpointId>;
 
-/// Builds the view of one data centre.
+/// Builds the view of one data centre. Endpoints in @p leaving are marked as draining.
 RoutingViewPtr buildRoutingView(std::shared_ptr<const Intent> intent, DataCentreId dataCentre,
                                 std::vector<PeerRoute> peers, const LeavingEndpoints &leaving);
 
-/// Where the control thread puts the view and traffic threads take it.
+/// Hands the current view from the control thread to the traffic threads.
 class RoutingViewHolder
 {
 public:
     void publish(RoutingViewPtr view) { m_view.store(std::move(view)); }
-    /// The newest view; null before the first.
+    /// The latest view; null before the first publish().
     RoutingViewPtr get() const { return m_view.load(); }
 
 private:
--- a/entry/shards.h
+++ b/entry/shards.h
@@ -1,16 +1,16 @@
-/// Which shard a request asks first, and who holds a shard.
+/// Orders the shards that a request asks for a grant, and finds the VM that holds a shard.
 #pragma once
 
 #include "entry/routing_view.h"
 
 namespace stackquay {
 
-/// The shard keys of a model's endpoints by preference for a prompt. @p spread decides for prompts
-/// without a prefix block, and should differ from request to request.
+/// Shard keys of a model's endpoints, best first for the prompt. For prompts without a prefix block
+/// the order depends on @p spread, which should be random for each request.
 std::vector<std::string> shardsForPrompt(const ModelRoute &route, const PrefixBlocks &prefix,
                                          uint64_t spread);
 
-/// The VM that holds a shard; null if there is none.
+/// The VM that holds a shard, by rendezvous hashing over the live VMs; null if there is no live VM.
 const PeerRoute *shardHolder(const RoutingView &view, const std::string &shard);
 
 } // namespace stackquay
--- a/entry/steward_service.cpp
+++ b/entry/steward_service.cpp
@@ -10,12 +10,12 @@
 
 using Json = nlohmann::json;
 
-/// How long one call waits for a grant; the node then asks again, so that a lost steward shows.
+/// Longest wait of one call for a grant. The node then calls again, which detects a lost steward.
 constexpr Millis WaitSlice{ 1'000 };
 constexpr Millis ExpirePeriod{ 100 };
 constexpr Millis PollPeriod{ 1'000 };
 constexpr Millis PollTimeout{ 1'000 };
-/// A started grant outlives its deadline by this, for the last messages to come in.
+/// A started grant expires this long after its deadline, so that the last updates can still arrive.
 constexpr Millis DeadlineMargin{ 2'000 };
 
 GrantReply toReply(const GrantDecision &decision)
@@ -47,11 +47,11 @@
     request.m_excluded = message.m_excluded;
     request.m_mayWait = message.m_mayWait;
     request.m_arrived = now - Micros(message.m_waitedUs);
-    request.m_deadline = now + Micros(message.m_leftUs);
+    request.m_deadline = now + Micros(message.m_remainingUs);
     return request;
 }
 
-AttemptReport toReport(const NoteGrant &message)
+AttemptReport toReport(const GrantUpdate &message)
 {
     AttemptReport report;
     report.m_end = static_cast<AttemptEnd>(message.m_end);
@@ -64,7 +64,7 @@
 
 } // namespace
 
-/// A node that waits in a call for the decision on one request.
+/// A pending AskGrant call that waits for the decision on one request.
 struct StewardService::Waiter {
     explicit Waiter(boost::asio::io_context &context)
         : m_timer(context)
@@ -81,8 +81,9 @@
     , m_random(std::random_device{}())
     , m_steward(makeSteward(node.owner()))
 {
-    server.handle<AskGrant>([this](const AskGrant &message) { return ask(message); });
-    server.handle<NoteGrant>([this](const NoteGrant &message) { return note(message); });
+    server.handle<AskGrant>([this](const AskGrant &message) { return handleAsk(message); });
+    server.handle<GrantUpdate>(
+        [this](const GrantUpdate &message) { return handleUpdate(message); });
 }
 
 StewardService::~StewardService() = default;
@@ -112,36 +113,37 @@
         }
     }
     for (const auto &[id, route] : routes)
-        takeOver(*route, models[id], versions[id]);
+        addManagedEndpoint(*route, models[id], versions[id]);
     std::vector<EndpointId> lost;
-    for (const auto &[id, owned] : m_owned) {
+    for (const auto &[id, managed] : m_managedEndpoints) {
         if (routes.find(id) == routes.end())
             lost.push_back(id);
     }
     for (const EndpointId &id : lost)
-        giveUp(id);
-    releaseOfDeadVms(serving);
+        removeManagedEndpoint(id);
+    releaseGrantsOfStoppedVms(serving);
 }
 
-void StewardService::takeOver(const EndpointRoute &endpoint, const std::vector<ModelId> &models,
-                              const std::string &version)
+void StewardService::addManagedEndpoint(const EndpointRoute &endpoint,
+                                        const std::vector<ModelId> &models,
+                                        const std::string &version)
 {
-    Owned &owned = m_owned[endpoint.m_id];
-    owned.m_address = endpoint.m_address;
-    owned.m_facts.m_id = endpoint.m_id;
-    owned.m_facts.m_models = models;
-    owned.m_facts.m_version = version;
-    owned.m_facts.m_draining = endpoint.m_draining || owned.m_saidLeaving;
-    deliver(updateEndpoint(m_steward, owned.m_facts, Clock::now()));
+    ManagedEndpoint &managed = m_managedEndpoints[endpoint.m_id];
+    managed.m_address = endpoint.m_address;
+    managed.m_facts.m_id = endpoint.m_id;
+    managed.m_facts.m_models = models;
+    managed.m_facts.m_version = version;
+    managed.m_facts.m_draining = endpoint.m_draining || managed.m_reportedDraining;
+    deliver(updateEndpoint(m_steward, managed.m_facts, Clock::now()));
 }
 
-void StewardService::giveUp(const EndpointId &endpoint)
+void StewardService::removeManagedEndpoint(const EndpointId &endpoint)
 {
-    m_owned.erase(endpoint);
+    m_managedEndpoints.erase(endpoint);
     deliver(endpointLeft(m_steward, endpoint, Clock::now()).m_decisions);
 }
 
-void StewardService::releaseOfDeadVms(const std::set<VmId> &serving)
+void StewardService::releaseGrantsOfStoppedVms(const std::set<VmId> &serving)
 {
     std::vector<GrantId> orphans;
     for (const auto &[id, endpoint] : m_steward.m_endpoints) {
@@ -156,7 +158,7 @@
         deliver(noteFinished(m_steward, grant, report, Clock::now()));
 }
 
-Result<GrantReply> StewardService::ask(const AskGrant &message)
+Result<GrantReply> StewardService::handleAsk(const AskGrant &message)
 {
     if (m_shards.find(message.m_shard) == m_shards.end())
         return makeError(ErrorCode::NotFound, "this VM does not hold the shard");
@@ -187,7 +189,7 @@
         if (decision.m_answer == GrantAnswer::Waiting)
             continue;
         const auto found = m_waiters.find(decision.m_request);
-        // Nobody waits in a call just now: the grant expires, or the node asks again.
+        // No call is pending for the request: the node calls again, or the grant expires.
         if (found == m_waiters.end())
             continue;
         found->second->m_reply = toReply(decision);
@@ -195,18 +197,18 @@
     }
 }
 
-Result<GrantNoted> StewardService::note(const NoteGrant &message)
+Result<GrantUpdateReply> StewardService::handleUpdate(const GrantUpdate &message)
 {
     const TimePoint now = Clock::now();
-    GrantNoted noted;
-    noted.m_known = m_steward.m_grants.find(message.m_grant) != m_steward.m_grants.end();
+    GrantUpdateReply reply;
+    reply.m_known = m_steward.m_grants.find(message.m_grant) != m_steward.m_grants.end();
     switch (static_cast<GrantStep>(message.m_step)) {
     case GrantStep::Started:
-        noted.m_known = stackquay::noteStarted(m_steward, message.m_grant, now,
-                                               now + Micros(message.m_leftUs) + DeadlineMargin);
+        reply.m_known = stackquay::noteStarted(
+            m_steward, message.m_grant, now, now + Micros(message.m_remainingUs) + DeadlineMargin);
         break;
     case GrantStep::ChunkDone:
-        noted.m_chunkTokens =
+        reply.m_chunkTokens =
             noteChunkDone(m_steward, message.m_grant, message.m_prefilledTokens, now);
         break;
     case GrantStep::FirstToken:
@@ -221,7 +223,7 @@
             waiter->second->m_timer.cancel();
         break;
     }
-    return noted;
+    return reply;
 }
 
 void StewardService::expireLoop()
@@ -233,8 +235,8 @@
 void StewardService::pollLoop()
 {
     do {
-        for (const auto &[id, owned] : m_owned) {
-            spawnFiber([this, id = id, address = owned.m_address] {
+        for (const auto &[id, managed] : m_managedEndpoints) {
+            spawnFiber([this, id = id, address = managed.m_address] {
                 pollState(id, address);
                 pollCache(id, address);
             });
@@ -245,36 +247,36 @@
 void StewardService::pollState(const EndpointId &id, const Address &address)
 {
     const auto response = m_pool.call(address, { "GET", "/state", {}, "" }, { PollTimeout });
-    const auto owned = m_owned.find(id);
-    if (!response || owned == m_owned.end())
+    const auto managed = m_managedEndpoints.find(id);
+    if (!response || managed == m_managedEndpoints.end())
         return;
     const Json state = Json::parse(response->m_body, nullptr, false);
     if (!state.is_object())
         return;
-    owned->second.m_facts.m_memoryTokens = state.value("memory_total", uint64_t(0));
-    const bool leaving = state.value("draining", false);
-    if (leaving != owned->second.m_saidLeaving && m_onLeaving)
-        m_onLeaving(id, leaving);
-    owned->second.m_saidLeaving = leaving;
-    owned->second.m_facts.m_draining = owned->second.m_facts.m_draining || leaving;
-    deliver(updateEndpoint(m_steward, owned->second.m_facts, Clock::now()));
+    managed->second.m_facts.m_memoryTokens = state.value("memory_total", uint64_t(0));
+    const bool draining = state.value("draining", false);
+    if (draining != managed->second.m_reportedDraining && m_onLeaving)
+        m_onLeaving(id, draining);
+    managed->second.m_reportedDraining = draining;
+    managed->second.m_facts.m_draining = managed->second.m_facts.m_draining || draining;
+    deliver(updateEndpoint(m_steward, managed->second.m_facts, Clock::now()));
 }
 
 void StewardService::pollCache(const EndpointId &id, const Address &address)
 {
-    const auto entry = m_owned.find(id);
-    if (entry == m_owned.end())
+    const auto entry = m_managedEndpoints.find(id);
+    if (entry == m_managedEndpoints.end())
         return;
     const uint64_t from = entry->second.m_nextEvent;
     const HttpRequest request{ "GET", fmt::format("/cache/events?from={}", from), {}, "" };
     const auto response = m_pool.call(address, request, { PollTimeout });
-    const auto owned = m_owned.find(id);
-    if (!response || owned == m_owned.end())
+    const auto managed = m_managedEndpoints.find(id);
+    if (!response || managed == m_managedEndpoints.end())
         return;
     const Json answer = Json::parse(response->m_body, nullptr, false);
     if (!answer.is_object() || !answer.contains("events"))
         return;
-    owned->second.m_nextEvent = answer.value("next", from);
+    managed->second.m_nextEvent = answer.value("next", from);
     for (const Json &event : answer["events"]) {
         const auto block = parseBlockName(event.value("block", std::string()));
         if (block)
--- a/entry/steward_service.h
+++ b/entry/steward_service.h
@@ -1,8 +1,8 @@
-/// The steward's side of grants: keeps account of the endpoints whose shards this VM holds, and
-/// answers the nodes that ask. Lives on the control thread.
+/// RPC service of a steward: tracks the load of the endpoints whose shards this VM holds, and
+/// grants them to requests of all nodes. Runs on the control thread.
 ///
-/// Stewardship is advice: if two VMs believe that they hold a shard, the endpoints' own refusals
-/// decide, and only load suffers.
+/// Grants are advisory: while two VMs both act as steward of a shard, the endpoints still refuse
+/// what exceeds their capacity, and only the load balance suffers.
 #pragma once
 
 #include <map>
@@ -21,13 +21,13 @@
     StewardService(const StewardService &) = delete;
     StewardService &operator=(const StewardService &) = delete;
 
-    /// Starts the fibers that expire grants and ask the engines. On the thread.
+    /// Starts the fibers that expire grants and poll the engines. Call on the thread only.
     void start();
-    /// Takes over and gives up shards as the view says. Grants of VMs that are not @p serving end;
-    /// one that leaves is still serving.
+    /// Adds and removes endpoints so that they match the shards that @p view assigns to this VM.
+    /// Grants of VMs that are not in @p serving are released; a draining VM is still serving.
     void update(const RoutingView &view, const std::set<VmId> &serving);
-    /// Endpoints that have announced that they are leaving, as asked by this steward.
-    std::function<void(const EndpointId &, bool leaving)> m_onLeaving;
+    /// Called when a polled endpoint starts or stops reporting that it drains. May be empty.
+    std::function<void(const EndpointId &, bool draining)> m_onLeaving;
 
     size_t endpoints() const { return m_steward.m_endpoints.size(); }
     size_t grants() const { return m_steward.m_grants.size(); }
@@ -36,24 +36,24 @@
 private:
     struct Waiter;
 
-    Result<GrantReply> ask(const AskGrant &message);
-    Result<GrantNoted> note(const NoteGrant &message);
+    Result<GrantReply> handleAsk(const AskGrant &message);
+    Result<GrantUpdateReply> handleUpdate(const GrantUpdate &message);
     void deliver(const std::vector<GrantDecision> &decisions);
-    void takeOver(const EndpointRoute &endpoint, const std::vector<ModelId> &models,
-                  const std::string &version);
-    void giveUp(const EndpointId &endpoint);
-    void releaseOfDeadVms(const std::set<VmId> &serving);
+    void addManagedEndpoint(const EndpointRoute &endpoint, const std::vector<ModelId> &models,
+                            const std::string &version);
+    void removeManagedEndpoint(const EndpointId &endpoint);
+    void releaseGrantsOfStoppedVms(const std::set<VmId> &serving);
     void expireLoop();
     void pollLoop();
     void pollState(const EndpointId &id, const Address &address);
     void pollCache(const EndpointId &id, const Address &address);
 
-    /// An endpoint that this VM keeps account of.
-    struct Owned {
+    /// An endpoint for which this VM is the steward.
+    struct ManagedEndpoint {
         Address m_address;
         EndpointFacts m_facts;
-        uint64_t m_nextEvent = 0; ///< Of the engine's cache events.
-        bool m_saidLeaving = false;
+        uint64_t m_nextEvent = 0; ///< Next position in the engine's log of cache events.
+        bool m_reportedDraining = false;
     };
 
     Node &m_node;
@@ -62,7 +62,7 @@
     RandomEngine m_random;
     Steward m_steward;
     std::set<std::string> m_shards;
-    std::map<EndpointId, Owned> m_owned;
+    std::map<EndpointId, ManagedEndpoint> m_managedEndpoints;
     std::map<RequestId, std::shared_ptr<Waiter>> m_waiters;
 };
 
--- a/tests/entry/completion_request_test.cpp
+++ b/tests/entry/completion_request_test.cpp
@@ -24,7 +24,7 @@
     EXPECT_FALSE(chat->m_stream);
 }
 
-TEST(CompletionRequestTest, NamesTheBadField)
+TEST(CompletionRequestTest, ErrorNamesTheInvalidField)
 {
     struct Case {
         const char *m_body;
--- a/tests/entry/steward_service_test.cpp
+++ b/tests/entry/steward_service_test.cpp
@@ -1,4 +1,4 @@
-/// The steward's account of grants while VMs come and go.
+/// Grants of a steward while VMs drain and stop.
 #include <future>
 #include <thread>
 
@@ -62,7 +62,7 @@
         return done.get_future().get();
     }
 
-    /// Whether a request of another VM was granted its endpoint and has started there.
+    /// Requests a grant for another VM and reports its start. Returns whether both succeeded.
     bool startRequest()
     {
         AskGrant ask;
@@ -74,15 +74,15 @@
         ask.m_need.m_promptTokens = 10;
         ask.m_need.m_outputTokens = 10;
         ask.m_mayWait = false;
-        ask.m_leftUs = 60'000'000;
+        ask.m_remainingUs = 60'000'000;
         const auto granted = m_client.call(m_address, ask, Seconds(5));
         if (!granted || static_cast<GrantAnswer>(granted->m_answer) != GrantAnswer::Granted)
             return false;
-        NoteGrant note;
-        note.m_step = static_cast<uint32_t>(GrantStep::Started);
-        note.m_grant = granted->m_grant;
-        note.m_leftUs = 60'000'000;
-        return m_client.call(m_address, note, Seconds(5)).has_value();
+        GrantUpdate update;
+        update.m_step = static_cast<uint32_t>(GrantStep::Started);
+        update.m_grant = granted->m_grant;
+        update.m_remainingUs = 60'000'000;
+        return m_client.call(m_address, update, Seconds(5)).has_value();
     }
 
     size_t grantsAfter(const std::set<VmId> &serving)
@@ -103,8 +103,9 @@
     RoutingViewPtr m_view;
 };
 
-// A VM that leaves holds no role, but finishes its requests, which go on filling the engine.
-TEST_F(StewardServiceTest, GrantsOfALeavingVmHoldUntilItIsGone)
+// Guards against releasing the grants of a draining VM too early: it holds no role any more, but
+// its requests still use the engine's memory until they finish.
+TEST_F(StewardServiceTest, GrantsOfADrainingVmLastUntilItStops)
 {
     const VmId self("vm-1");
     const VmId leaving("vm-2");
@@ -113,7 +114,7 @@
         m_stewards.start();
         return true;
     });
-    // Nothing is granted before the engine's memory is known.
+    // The steward grants nothing before the first poll of the engine's memory.
     while (!onThread<bool>([&] { return startRequest(); }))
         std::this_thread::sleep_for(Millis(20));
     EXPECT_EQ(grantsAfter({ self, leaving }), 1u);
