--- a/entry/admission_gate.cpp
+++ b/entry/admission_gate.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Position of @p self among the sorted names, and their number; alone if it is not among them.
+/// Index of @p self in the sorted names, and the number of names. A name that is not listed is
+/// counted as one more after the last.
 template<typename Name>
 std::pair<size_t, size_t> positionOf(std::vector<Name> names, const Name &self)
 {
@@ -17,11 +18,12 @@
     return { static_cast<size_t>(found - names.begin()), names.size() };
 }
 
-/// The part of @p whole that falls to one of @p count; the first ones get the remainder.
-uint32_t wholePart(uint32_t whole, size_t position, size_t count)
+/// Share of @p total for the holder at @p position of @p count. The remainder of the division goes
+/// to the first holders, one unit each.
+uint32_t integerShare(uint32_t total, size_t position, size_t count)
 {
     const auto parts = static_cast<uint32_t>(count);
-    return whole / parts + (position < whole % parts ? 1 : 0);
+    return total / parts + (position < total % parts ? 1 : 0);
 }
 
 } // namespace
@@ -77,7 +79,7 @@
         slice.m_tokensPerSecond = customer.m_tokensPerSecond / static_cast<double>(centres * count);
     if (customer.m_concurrency > 0)
         slice.m_concurrency =
-            wholePart(wholePart(customer.m_concurrency, centre, centres), vm, count);
+            integerShare(integerShare(customer.m_concurrency, centre, centres), vm, count);
     return slice;
 }
 
--- a/entry/admission_gate.h
+++ b/entry/admission_gate.h
@@ -1,4 +1,5 @@
-/// Customers' limits and retry budgets of this VM, shared by its traffic threads.
+/// Enforces the customers' rate and concurrency limits and their retry budgets on this VM. Shared
+/// by all traffic threads; each call locks a mutex.
 #pragma once
 
 #include <mutex>
@@ -13,11 +14,16 @@
 public:
     /// Sets the slice of a customer's limits that this VM may use.
     void setSlice(const CustomerId &customer, const LimitSlice &slice, TimePoint now);
-    /// Admits a request of @p tokens, or says why not. An admitted one is given back by finish().
+    /// Admits a request that may use up to @p tokens. Returns nothing if it was admitted, otherwise
+    /// the refusal. Each admitted request must be passed to finish().
     std::optional<Refusal> admit(const CustomerId &customer, double tokens, TimePoint now);
+    /// Ends an admitted request and credits the tokens that it did not use. A @p complete request
+    /// also adds to the customer's retry budget.
     void finish(const CustomerId &customer, double admittedTokens, double usedTokens, bool complete,
                 TimePoint now);
+    /// Decides whether a request may be retried, and charges a granted retry to the budget.
     RetryDecision mayRetry(const RetryQuestion &question, TimePoint now);
+    /// Delay before the next attempt, with jitter from @p random.
     Duration backoff(uint32_t attemptsMade, RandomEngine &random) const;
 
 private:
@@ -26,8 +32,9 @@
     RetryBudgets m_retries;
 };
 
-/// This VM's part when a customer's limits are split equally over data centres and their VMs.
-/// The parts of all VMs add up to no more than the limits.
+/// Slice of @p customer's limits for the VM @p self if they are split equally over the data
+/// centres, and within each over its VMs. The slices of all VMs add up to no more than the limits.
+/// Members of unlimited kinds stay empty.
 LimitSlice equalSlice(const Customer &customer, const RoutingView &view, const VmId &self);
 
 } // namespace stackquay
--- a/entry/claim_gate.h
+++ b/entry/claim_gate.h
@@ -1,5 +1,5 @@
-/// Claims of idempotency keys, for traffic threads. The claims themselves live on the control
-/// thread.
+/// Access of traffic threads to claims of idempotency keys. The claim store itself runs on the
+/// control thread.
 #pragma once
 
 #include <functional>
@@ -8,15 +8,18 @@
 
 namespace stackquay {
 
-/// Every function may block the calling fiber until its deadline. Set once, before traffic starts.
+/// Each function may block the calling fiber until the deadline. Set once, before traffic starts.
 struct ClaimGate {
+    /// Claims an idempotency key for one call.
     std::function<ClaimResult(const ClaimRequest &)> m_claim;
+    /// Stores the encoded outcome of a claimed call, which later calls with the same key get.
     std::function<Status(const ClaimHandle &, const std::string &outcome, TimePoint deadline)>
         m_record;
+    /// Releases a claim whose call did not run, so that the key can be claimed again.
     std::function<Status(const ClaimHandle &, TimePoint deadline)> m_free;
 };
 
-/// A gate to @p claims, which lives on @p thread. Both must outlive the gate's use.
+/// Returns a gate that forwards to @p claims on @p thread. Both must outlive the gate.
 ClaimGate makeClaimGate(FiberThread &thread, ClaimStore &claims);
 
 } // namespace stackquay
--- a/entry/completion_answer.cpp
+++ b/entry/completion_answer.cpp
@@ -60,7 +60,7 @@
 {
     if (!m_stream || m_buffer.empty())
         return {};
-    const Status written = m_streaming ? m_exchange.write(m_buffer) : begin(m_buffer);
+    const Status written = m_started ? m_exchange.write(m_buffer) : startStream(m_buffer);
     m_buffer.clear();
     return written;
 }
@@ -71,31 +71,33 @@
     if (!m_stream) {
         const HttpHeaders headers{ { "Content-Type", "application/json" },
                                    { "Stackquay-Request-Id", m_id.str() } };
-        return m_exchange.respond({ 200, headers, wholeBody(frame) });
+        return m_exchange.respond({ 200, headers, completeBody(frame) });
     }
     appendChunk(R"("")", finish, nullptr, &frame);
     m_buffer += "data: [DONE]\n\n";
-    if (m_streaming)
+    if (m_started)
         return m_exchange.finish(m_buffer);
-    return begin(m_buffer).and_then([&] { return m_exchange.finish(); });
+    return startStream(m_buffer).and_then([&] { return m_exchange.finish(); });
 }
 
 void CompletionAnswer::fail(const Refusal &refusal)
 {
-    if (!m_streaming) {
+    if (!m_started) {
         respondRefusal(m_exchange, m_id, refusal);
         return;
     }
-    // The caller may be gone already; the abort that follows says the same.
+    // A failed write needs no handling: the client has disconnected, and the body is aborted
+    // anyway.
     const Status ignored = m_exchange.write("data: " + errorBody(refusal) + "\n\n");
     if (!ignored)
-        log(LogPart::Entry).debug("Caller left before its error. request={}", m_id.str());
+        log(LogPart::Entry)
+            .debug("Client disconnected before the error was sent. request={}", m_id.str());
     m_exchange.abort();
 }
 
-Status CompletionAnswer::begin(std::string_view first)
+Status CompletionAnswer::startStream(std::string_view first)
 {
-    m_streaming = true;
+    m_started = true;
     return m_exchange.startStream(200,
                                   { { "Content-Type", "text/event-stream" },
                                     { "Cache-Control", "no-store" },
@@ -122,7 +124,7 @@
     m_buffer += "}\n\n";
 }
 
-std::string CompletionAnswer::wholeBody(const FinalFrame &frame) const
+std::string CompletionAnswer::completeBody(const FinalFrame &frame) const
 {
     const std::string text = toJsonString(m_buffer);
     const std::string content =
@@ -148,7 +150,8 @@
     response.m_body = errorBody(refusal);
     const Status sent = exchange.respond(response);
     if (!sent)
-        log(LogPart::Entry).debug("Caller left before its refusal. request={}", id.str());
+        log(LogPart::Entry)
+            .debug("Client disconnected before the refusal was sent. request={}", id.str());
 }
 
 } // namespace stackquay
--- a/entry/completion_answer.h
+++ b/entry/completion_answer.h
@@ -1,4 +1,5 @@
-/// Writes an answer in the shape of the completion API, streamed or whole.
+/// Writes the response of the completion API, as a stream of server-sent events or as one JSON
+/// body.
 #pragma once
 
 #include "endpoint/endpoint.h"
@@ -8,30 +9,31 @@
 
 namespace stackquay {
 
-/// One answer. A stream ends with usage and `[DONE]` only if it is whole; otherwise with an error
-/// event and an aborted chunked body.
+/// Response of one request. A complete stream ends with the token usage and `[DONE]`; an incomplete
+/// one ends with an error event, and its chunked body is aborted.
 class CompletionAnswer
 {
 public:
     CompletionAnswer(HttpExchange &exchange, const CompletionRequest &request, RequestId id,
                      uint64_t promptTokens);
 
-    /// Takes tokens; a stream sends them with the next flush().
+    /// Adds tokens. A streamed response sends them with the next flush().
     void append(const TokenFrame &frame);
-    /// Sends what append() took. An error means that the caller is gone.
+    /// Sends the tokens added since the last flush(). An error means that the client has
+    /// disconnected. No-op unless the response is streamed.
     Status flush();
-    /// Ends the answer.
+    /// Completes the response. An error means that the client has disconnected.
     Status finish(const FinalFrame &frame);
-    /// Tells the caller why there is no (whole) answer.
+    /// Reports @p refusal: as an HTTP error before the stream has started, else as an error event.
     void fail(const Refusal &refusal);
-    /// Whether the caller has got part of the answer.
-    bool begun() const { return m_streaming; }
+    /// Whether the headers of a streamed response have been sent.
+    bool hasStarted() const { return m_started; }
 
 private:
     void appendChunk(std::string_view textJson, std::string_view finish, const TokenFrame *frame,
                      const FinalFrame *final);
-    Status begin(std::string_view first);
-    std::string wholeBody(const FinalFrame &frame) const;
+    Status startStream(std::string_view first);
+    std::string completeBody(const FinalFrame &frame) const;
 
     HttpExchange &m_exchange;
     ApiShape m_shape;
@@ -40,11 +42,11 @@
     RequestId m_id;
     uint64_t m_promptTokens;
     int64_t m_created;
-    std::string m_buffer; ///< Events to send, or the whole text so far.
-    bool m_streaming = false;
+    std::string m_buffer; ///< Streamed: events not sent yet. Otherwise: the text so far.
+    bool m_started = false;
 };
 
-/// Answers with @p refusal as an HTTP error.
+/// Responds with @p refusal as an HTTP error.
 void respondRefusal(HttpExchange &exchange, const RequestId &id, const Refusal &refusal);
 
 } // namespace stackquay
--- a/entry/completion_handler.cpp
+++ b/entry/completion_handler.cpp
@@ -27,7 +27,8 @@
     return {};
 }
 
-/// Parses and checks everything that can be refused before any work.
+/// Parses and validates the request, and refuses it if the model, the prompt length or a shutdown
+/// rules it out.
 tl::expected<AdmittedCompletion, Refusal> prepare(TrafficWorker &worker, const HttpRequest &http,
                                                   const RequestId &id, ApiShape shape,
                                                   TimePoint arrived)
@@ -45,17 +46,17 @@
         return tl::unexpected(refuseNotRun(RequestError::ModelNotFound, model.error().m_message));
     AdmittedCompletion admitted;
     admitted.m_promptTokens = estimateTokens(request->m_prompt.size());
-    const uint64_t most = context->m_view->findModel(request->m_model)->m_model.m_maxTokens;
-    if (admitted.m_promptTokens + request->m_maxTokens > most)
+    const uint64_t maxTokens = context->m_view->findModel(request->m_model)->m_model.m_maxTokens;
+    if (admitted.m_promptTokens + request->m_maxTokens > maxTokens)
         return tl::unexpected(refuseNotRun(
             RequestError::PromptTooLong,
-            fmt::format("prompt and answer have {} tokens together, the model takes {}",
-                        admitted.m_promptTokens + request->m_maxTokens, most)));
+            fmt::format("prompt and 'max_tokens' have {} tokens in total, the model allows {}",
+                        admitted.m_promptTokens + request->m_maxTokens, maxTokens)));
     admitted.m_length = lengthClass(admitted.m_promptTokens);
-    admitted.m_deadline = requestDeadline(settings.m_deadlines, context->m_wishedDeadline,
+    admitted.m_deadline = requestDeadline(settings.m_deadlines, context->m_requestedDeadline,
                                           admitted.m_length, arrived);
-    if (auto ending = refuseIfEnding(worker.node(), admitted.m_deadline))
-        return tl::unexpected(std::move(*ending));
+    if (auto shutdown = refuseIfShuttingDown(worker.node(), admitted.m_deadline))
+        return tl::unexpected(std::move(*shutdown));
     admitted.m_context = std::move(*context);
     admitted.m_request = std::move(*request);
     return admitted;
@@ -75,9 +76,9 @@
         return;
     }
     CompletionRun run(worker, exchange, std::move(admitted));
-    worker.runs().insert(&run);
+    worker.activeRequests().insert(&run);
     const Outcome outcome = run.execute();
-    worker.runs().erase(&run);
+    worker.activeRequests().erase(&run);
     node.m_entryMetrics.countOutcome(outcome);
     const double used = prompt + static_cast<double>(run.tokens());
     node.m_admission.finish(customer, tokens, used, outcome == Outcome::Complete, Clock::now());
@@ -94,7 +95,7 @@
         respondRefusal(exchange, id, admitted.error());
         return;
     }
-    // The parsed prompt replaces the body, which may be megabytes.
+    // The body may be megabytes, and the parsed prompt has replaced it.
     exchange.request().m_body = std::string();
     runAdmitted(worker, exchange, std::move(*admitted));
 }
@@ -115,7 +116,8 @@
     const Status sent =
         exchange.respond({ 200, { { "Content-Type", "application/json" } }, body.dump() });
     if (!sent)
-        log(LogPart::Entry).debug("Caller left before its answer. request={}", id.str());
+        log(LogPart::Entry)
+            .debug("Client disconnected before the response was sent. request={}", id.str());
 }
 
 } // namespace stackquay
--- a/entry/completion_handler.h
+++ b/entry/completion_handler.h
@@ -1,4 +1,4 @@
-/// Serves the completion API.
+/// HTTP handlers of the completion API.
 #pragma once
 
 #include "entry/completion_request.h"
@@ -6,9 +6,9 @@
 
 namespace stackquay {
 
-/// Answers one completion request.
+/// Handles one completion request of either API shape until its response is complete.
 void handleCompletion(TrafficWorker &worker, HttpExchange &exchange, ApiShape shape);
-/// Lists the models: GET /v1/models.
+/// Handles GET /v1/models: lists the models.
 void handleModels(TrafficWorker &worker, HttpExchange &exchange);
 
 } // namespace stackquay
--- a/entry/completion_request.cpp
+++ b/entry/completion_request.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 constexpr uint64_t DefaultMaxTokens = 256;
-constexpr uint64_t LargestMaxTokens = 1'000'000;
+constexpr uint64_t MaxOutputTokens = 1'000'000;
 
 tl::unexpected<Error> invalid(std::string message)
 {
@@ -39,9 +39,9 @@
     if (field == body.end() || field->is_null())
         return {};
     if (!field->is_number_unsigned() || field->get<uint64_t>() == 0
-        || field->get<uint64_t>() > LargestMaxTokens)
+        || field->get<uint64_t>() > MaxOutputTokens)
         return invalid(
-            fmt::format("'max_tokens' must be an integer from 1 to {}", LargestMaxTokens));
+            fmt::format("'max_tokens' must be an integer from 1 to {}", MaxOutputTokens));
     request.m_maxTokens = field->get<uint64_t>();
     return {};
 }
--- a/entry/completion_request.h
+++ b/entry/completion_request.h
@@ -1,4 +1,4 @@
-/// Requests of the chat and text completion API, parsed and checked.
+/// Parses and validates requests of the chat and text completion API.
 #pragma once
 
 #include "core/core.h"
@@ -13,13 +13,13 @@
 struct CompletionRequest {
     ApiShape m_shape = ApiShape::Text;
     ModelId m_model;
-    std::string m_adapter; ///< From a model name of the form "model:adapter"; may be empty.
-    std::string m_prompt;
-    uint64_t m_maxTokens = 0;
+    std::string m_adapter; ///< From a model name "model:adapter"; empty if there is none.
+    std::string m_prompt; ///< Chat messages are joined as lines "role: content".
+    uint64_t m_maxTokens = 0; ///< Limit of the output.
     bool m_stream = false;
 };
 
-/// Parses a JSON body. InvalidArgument names the field and what is allowed.
+/// Parses a JSON body. An InvalidArgument error names the invalid field and its allowed values.
 Result<CompletionRequest> parseCompletionRequest(ApiShape shape, std::string_view body);
 
 } // namespace stackquay
--- a/entry/completion_run.cpp
+++ b/entry/completion_run.cpp
@@ -12,12 +12,12 @@
 
 constexpr Millis CancelTimeout{ 2'000 };
 constexpr Millis CancelRetryDelay{ 200 };
-constexpr int CancelTries = 3;
+constexpr int MaxCancelAttempts = 3;
 
-/// Frees the engine's memory of an attempt that nobody waits for. Runs in a fiber of its own.
+/// Cancels an abandoned attempt, which frees its memory on the engine. Runs in a fiber of its own.
 void cancelAtEngine(TrafficWorker &worker, const Address &address, const AttemptId &attempt)
 {
-    for (int i = 0; i < CancelTries; ++i) {
+    for (int i = 0; i < MaxCancelAttempts; ++i) {
         if (stackquay::cancelAttempt(worker.pool(), address, attempt, CancelTimeout))
             return;
         if (!sleepFor(worker.thread().context(), CancelRetryDelay))
@@ -28,7 +28,7 @@
               toString(address));
 }
 
-/// What an engine's own refusal tells the steward.
+/// Maps the reason of an engine's refusal to the end that is reported to the steward.
 AttemptEnd attemptEndFor(std::string_view reason)
 {
     if (reason == "no_memory")
@@ -76,10 +76,10 @@
 
 RequestEvent CompletionRun::step(RequestState state)
 {
-    if (m_hungUp)
+    if (m_clientDisconnected)
         return RequestEvent::HungUp;
-    if (late())
-        return expired();
+    if (deadlinePassed())
+        return handleDeadline();
     switch (state) {
     case RequestState::Placing:
         return place();
@@ -102,27 +102,27 @@
     std::abort();
 }
 
-RequestEvent CompletionRun::expired()
+RequestEvent CompletionRun::handleDeadline()
 {
     m_report.m_end = AttemptEnd::Cancelled;
-    if (m_expiry == RequestError::ShuttingDown)
-        fail(m_expiry, "this VM is shutting down");
+    if (m_deadlineError == RequestError::ShuttingDown)
+        fail(m_deadlineError, "this VM is shutting down");
     else
-        fail(m_expiry, "the deadline has passed");
+        fail(m_deadlineError, "the deadline has passed");
     return RequestEvent::DeadlinePassed;
 }
 
 void CompletionRun::shutDown()
 {
-    m_expiry = RequestError::ShuttingDown;
+    m_deadlineError = RequestError::ShuttingDown;
     m_admitted.m_deadline = Clock::now();
-    breakOff();
+    cancelWaits();
 }
 
-void CompletionRun::breakOff()
+void CompletionRun::cancelWaits()
 {
     cancelPlacement(m_worker, m_admitted.m_context.m_id, m_wait);
-    for (const auto &stream : { m_stream.get(), m_chunk.get() }) {
+    for (const auto &stream : { m_stream.get(), m_prefillStream.get() }) {
         if (stream)
             stream->cancel();
     }
@@ -144,10 +144,10 @@
     request.m_excluded = m_excluded;
     request.m_arrived = context.m_arrived;
     auto placement = stackquay::place(m_worker, *m_route, request, m_wait);
-    if (m_hungUp && !placement)
+    if (m_clientDisconnected && !placement)
         return RequestEvent::HungUp;
-    if (!placement && m_expiry == RequestError::ShuttingDown)
-        return expired();
+    if (!placement && m_deadlineError == RequestError::ShuttingDown)
+        return handleDeadline();
     if (!placement) {
         m_refusal = placement.error();
         return RequestEvent::NoEndpoint;
@@ -156,7 +156,7 @@
     m_report = AttemptReport();
     m_report.m_end = AttemptEnd::Failed;
     m_prefilled = m_placement->m_grant ? m_placement->m_grant->m_cachedTokens : 0;
-    notePlacement(m_worker, *m_placement, GrantStep::Started, timeout());
+    reportGrantStep(m_worker, *m_placement, GrantStep::Started, timeout());
     return RequestEvent::Granted;
 }
 
@@ -166,21 +166,22 @@
     attempt.m_prefillOnly = true;
     attempt.m_prefillLimit = m_placement->m_chunkTokens;
     attempt.m_attempt = AttemptId(randomToken());
-    m_chunk = std::make_unique<EngineStream>(m_worker.pool(), m_placement->m_address);
-    noteRunning(attempt.m_attempt);
-    const auto started = m_chunk->start(attempt, timeout());
+    m_prefillStream = std::make_unique<EngineStream>(m_worker.pool(), m_placement->m_address);
+    markRunning(attempt.m_attempt);
+    const auto started = m_prefillStream->start(attempt, timeout());
     if (!started)
-        return startFailed(started.error());
-    const auto frame = m_chunk->next(timeout());
+        return handleStartFailure(started.error());
+    const auto frame = m_prefillStream->next(timeout());
     const auto *prefilled = frame ? std::get_if<PrefillFrame>(&*frame) : nullptr;
     if (!prefilled)
-        return streamFailed(frame ? Error{ ErrorCode::ProtocolError, "no prefill frame" }
-                                  : frame.error());
-    m_chunk->release();
-    m_chunk.reset();
-    m_running = false;
+        return handleStreamFailure(frame ? Error{ ErrorCode::ProtocolError, "no prefill frame" }
+                                         : frame.error());
+    m_prefillStream->release();
+    m_prefillStream.reset();
+    m_mayBeRunning = false;
     if (prefilled->m_prefilled == 0)
-        return RequestEvent::Prefilled; // The cache takes no more: the rest goes at once.
+        return RequestEvent::Prefilled; // The cache is full: the rest is prefilled by the attempt
+                                        // itself.
     m_prefilled = prefilled->m_cached + prefilled->m_prefilled;
     m_placement->m_chunkTokens = nextChunk(m_worker, *m_placement, m_prefilled);
     return needsChunks() ? RequestEvent::ChunkDone : RequestEvent::Prefilled;
@@ -190,26 +191,26 @@
 {
     m_worker.node().m_entryMetrics.countAttempt();
     m_stream = std::make_unique<EngineStream>(m_worker.pool(), m_placement->m_address);
-    noteRunning(m_attempt);
+    markRunning(m_attempt);
     const auto started = m_stream->start(makeAttempt(), timeout());
     if (!started)
-        return startFailed(started.error());
+        return handleStartFailure(started.error());
     m_attempts.push_back({ 1, EndpointReply::Nothing, true });
     return RequestEvent::Started;
 }
 
-RequestEvent CompletionRun::startFailed(const StartFailure &failure)
+RequestEvent CompletionRun::handleStartFailure(const StartFailure &failure)
 {
-    m_running = !failure.m_notRun;
-    if (m_hungUp)
+    m_mayBeRunning = !failure.m_notRun;
+    if (m_clientDisconnected)
         return RequestEvent::HungUp;
     AttemptFacts facts;
     facts.m_bytesSent = failure.m_notRun && failure.m_reason.empty() ? 0 : 1;
     facts.m_reply = failure.m_notRun ? EndpointReply::NotRun : EndpointReply::Nothing;
     facts.m_replyIsOurs = true;
     m_attempts.push_back(facts);
-    if (endedWith(failure.m_error))
-        return expired();
+    if (checkShutdown(failure.m_error))
+        return handleDeadline();
     m_report.m_end = attemptEndFor(failure.m_reason);
     if (failure.m_error.m_code == ErrorCode::InvalidArgument) {
         fail(RequestError::PromptTooLong, failure.m_error.m_message);
@@ -225,32 +226,32 @@
 {
     const Duration idle = m_worker.node().m_settings.m_streamIdleTimeout;
     for (;;) {
-        // Before the first token the engine may be busy with the prompt until the deadline.
+        // Before the first token, the prefill may take until the deadline.
         const auto frame = m_stream->next(m_firstToken ? timeout(idle) : timeout());
         if (!frame)
-            return streamFailed(frame.error());
+            return handleStreamFailure(frame.error());
         if (const auto *final = std::get_if<FinalFrame>(&*frame))
             return finish(*final);
         const auto *tokens = std::get_if<TokenFrame>(&*frame);
         if (!tokens)
-            return streamFailed({ ErrorCode::ProtocolError, "unexpected prefill frame" });
-        if (!passOn(*tokens) || m_hungUp)
+            return handleStreamFailure({ ErrorCode::ProtocolError, "unexpected prefill frame" });
+        if (!forwardTokens(*tokens) || m_clientDisconnected)
             return RequestEvent::HungUp;
-        if (late())
-            return streamFailed({ ErrorCode::DeadlineExceeded, "the deadline has passed" });
+        if (deadlinePassed())
+            return handleStreamFailure({ ErrorCode::DeadlineExceeded, "the deadline has passed" });
     }
 }
 
-RequestEvent CompletionRun::streamFailed(const Error &error)
+RequestEvent CompletionRun::handleStreamFailure(const Error &error)
 {
-    if (m_hungUp)
+    if (m_clientDisconnected)
         return RequestEvent::HungUp;
     if (!m_stream)
         m_attempts.push_back({ 1, EndpointReply::Nothing, true });
-    if (endedWith(error) || late())
-        return expired();
+    if (checkShutdown(error) || deadlinePassed())
+        return handleDeadline();
     log(LogPart::Entry)
-        .info("Stream was cut. request={} engine={} at={} error={}",
+        .info("Engine stream was interrupted. request={} engine={} at={} error={}",
               m_admitted.m_context.m_id.str(), m_placement->m_endpoint.str(), m_position,
               toString(error));
     fail(RequestError::AnswerCut, error.m_message);
@@ -261,21 +262,21 @@
     return RequestEvent::Cut;
 }
 
-/// Whether @p error is no failure of the engine: the process ends, and the wait was broken off.
-bool CompletionRun::endedWith(const Error &error)
+/// Cancelled means that this process interrupted the wait, so the engine has not failed.
+bool CompletionRun::checkShutdown(const Error &error)
 {
     if (error.m_code == ErrorCode::Cancelled)
-        m_expiry = RequestError::ShuttingDown;
+        m_deadlineError = RequestError::ShuttingDown;
     return error.m_code == ErrorCode::Cancelled;
 }
 
-void CompletionRun::noteRunning(const AttemptId &attempt)
+void CompletionRun::markRunning(const AttemptId &attempt)
 {
     m_runningAttempt = attempt;
-    m_running = true;
+    m_mayBeRunning = true;
 }
 
-bool CompletionRun::passOn(const TokenFrame &frame)
+bool CompletionRun::forwardTokens(const TokenFrame &frame)
 {
     noteFirstToken();
     m_resumes = 0;
@@ -283,14 +284,14 @@
     m_position = frame.m_index + frame.m_count;
     m_attempts.back().m_reply = EndpointReply::Partial;
     m_worker.node().m_entryMetrics.countTokens(frame.m_count);
-    // Frames that are here already go out with the same write.
+    // Frames that have already been received are sent with the same write.
     return m_stream->ready() || m_answer.flush().has_value();
 }
 
 RequestEvent CompletionRun::finish(const FinalFrame &frame)
 {
     noteFirstToken();
-    m_running = false;
+    m_mayBeRunning = false;
     m_report.m_end = AttemptEnd::Complete;
     m_report.m_cachedTokens = frame.m_cached;
     m_report.m_prefill = frame.m_prefill;
@@ -310,18 +311,19 @@
         m_excluded.push_back(m_placement->m_endpoint);
         return RequestEvent::Gone;
     };
-    while (m_resumes < node.m_settings.m_resumeTries && !m_hungUp && !late()) {
+    while (m_resumes < node.m_settings.m_maxResumeAttempts && !m_clientDisconnected
+           && !deadlinePassed()) {
         ++m_resumes;
         node.m_entryMetrics.countResume();
         const Status resumed = m_stream->resume(timeout(node.m_settings.m_connectTimeout));
         if (resumed)
             return RequestEvent::Resumed;
-        if (m_hungUp)
+        if (m_clientDisconnected)
             return RequestEvent::HungUp;
-        if (endedWith(resumed.error()))
-            return expired();
+        if (checkShutdown(resumed.error()))
+            return handleDeadline();
         if (resumed.error().m_code == ErrorCode::NotFound) {
-            m_running = false;
+            m_mayBeRunning = false;
             return excludeEngine();
         }
     }
@@ -343,7 +345,7 @@
     const RetryDecision decision = node.m_admission.mayRetry(question, Clock::now());
     if (decision != RetryDecision::Retry) {
         log(LogPart::Entry)
-            .info("No further attempt. request={} decision={}", m_admitted.m_context.m_id.str(),
+            .info("Request is not retried. request={} decision={}", m_admitted.m_context.m_id.str(),
                   retryDecisionName(decision));
         return RequestEvent::GiveUp;
     }
@@ -370,9 +372,9 @@
 {
     if (m_stream)
         m_stream->cancel();
-    if (!m_running || !m_placement)
+    if (!m_mayBeRunning || !m_placement)
         return;
-    m_running = false;
+    m_mayBeRunning = false;
     spawnFiber([&worker = m_worker, address = m_placement->m_address, attempt = m_runningAttempt] {
         cancelAtEngine(worker, address, attempt);
     });
@@ -382,7 +384,7 @@
 {
     if (!m_placement)
         return;
-    if (m_hungUp)
+    if (m_clientDisconnected)
         m_report.m_end = AttemptEnd::Cancelled;
     endPlacement(m_worker, *m_placement, m_report);
     m_placement.reset();
@@ -392,7 +394,7 @@
 {
     m_refusal.m_outcome = requestOutcome(m_attempts);
     if (m_refusal.m_error == RequestError::ShuttingDown)
-        m_refusal = endingRefusal(m_refusal.m_outcome);
+        m_refusal = shutdownRefusal(m_refusal.m_outcome);
     log(LogPart::Entry)
         .info("Request failed. request={} outcome={} error={} message={}",
               m_admitted.m_context.m_id.str(), outcomeName(m_refusal.m_outcome),
@@ -421,7 +423,7 @@
 {
     m_attempt = AttemptId(randomToken());
     m_stream.reset();
-    m_chunk.reset();
+    m_prefillStream.reset();
     m_prefilled = 0;
     m_resumes = 0;
 }
@@ -432,7 +434,7 @@
         return;
     m_firstToken = true;
     m_firstTokenAt = Clock::now();
-    notePlacement(m_worker, *m_placement, GrantStep::FirstToken, timeout());
+    reportGrantStep(m_worker, *m_placement, GrantStep::FirstToken, timeout());
     const RequestContext &context = m_admitted.m_context;
     m_worker.node().m_entryMetrics.recordTtft(context.m_customer->m_id,
                                               m_admitted.m_request.m_model, m_admitted.m_length,
@@ -447,14 +449,14 @@
 
 void CompletionRun::onHangup()
 {
-    m_hungUp = true;
-    breakOff();
+    m_clientDisconnected = true;
+    cancelWaits();
 }
 
 Duration CompletionRun::timeout(Duration limit) const
 {
-    const Duration left = m_admitted.m_deadline - Clock::now();
-    return std::clamp<Duration>(left, Millis(1), limit);
+    const Duration remaining = m_admitted.m_deadline - Clock::now();
+    return std::clamp<Duration>(remaining, Millis(1), limit);
 }
 
 Duration CompletionRun::timeout() const
--- a/entry/completion_run.h
+++ b/entry/completion_run.h
@@ -1,5 +1,6 @@
-/// One completion request from admission to outcome, driven by charts/request.scxml: each state has
-/// a step that does its I/O and returns an event, and the chart says which state follows.
+/// Runs one completion request from admission to its outcome, driven by the state chart
+/// charts/request.scxml: each state has a step that does its I/O and returns an event, and the
+/// chart selects the next state.
 #pragma once
 
 #include <optional>
@@ -11,7 +12,7 @@
 
 namespace stackquay {
 
-/// An admitted request.
+/// A validated request, ready to run.
 struct AdmittedCompletion {
     RequestContext m_context;
     CompletionRequest m_request;
@@ -25,10 +26,10 @@
 public:
     CompletionRun(TrafficWorker &worker, HttpExchange &exchange, AdmittedCompletion admitted);
 
-    /// Runs to the end; the caller has its answer when it returns.
+    /// Runs the request to its end. The response has been sent when this returns.
     Outcome execute();
     void shutDown() override;
-    /// Tokens passed on to the caller.
+    /// Output tokens forwarded to the client.
     uint64_t tokens() const { return m_position; }
 
     // Guards and actions of the chart.
@@ -49,21 +50,25 @@
 
     EngineAttempt makeAttempt() const;
     void newAttempt();
-    RequestEvent startFailed(const StartFailure &failure);
-    RequestEvent streamFailed(const Error &error);
-    RequestEvent expired();
-    /// False if the caller is gone.
-    bool passOn(const TokenFrame &frame);
+    RequestEvent handleStartFailure(const StartFailure &failure);
+    RequestEvent handleStreamFailure(const Error &error);
+    /// Fails the request with m_deadlineError.
+    RequestEvent handleDeadline();
+    /// Forwards tokens to the client. Returns false if the client has disconnected.
+    bool forwardTokens(const TokenFrame &frame);
     RequestEvent finish(const FinalFrame &frame);
     void noteFirstToken();
-    bool endedWith(const Error &error);
-    void noteRunning(const AttemptId &attempt);
+    /// Returns whether @p error means that the process shuts down, and records that.
+    bool checkShutdown(const Error &error);
+    void markRunning(const AttemptId &attempt);
     void fail(RequestError error, std::string message);
     void onHangup();
-    void breakOff();
-    bool late() const { return Clock::now() >= m_admitted.m_deadline; }
-    /// Time to the deadline, but no more than @p limit.
+    /// Interrupts the placement and the streams in progress.
+    void cancelWaits();
+    bool deadlinePassed() const { return Clock::now() >= m_admitted.m_deadline; }
+    /// Time until the deadline, at least 1 ms and at most @p limit.
     Duration timeout(Duration limit) const;
+    /// Time until the deadline, at least 1 ms.
     Duration timeout() const;
 
     TrafficWorker &m_worker;
@@ -76,20 +81,23 @@
     std::vector<EndpointId> m_excluded;
     std::optional<Placement> m_placement;
     PlacementWait m_wait;
-    AttemptReport m_report; ///< Of the present attempt.
+    AttemptReport m_report; ///< Of the current attempt.
     TimePoint m_firstTokenAt;
     AttemptId m_attempt;
-    AttemptId m_runningAttempt; ///< As the engine knows it: of the answer, or of a chunk.
+    AttemptId m_runningAttempt; ///< Id of the last call sent to the engine: m_attempt, or of a
+                                ///< prefill chunk.
     std::unique_ptr<EngineStream> m_stream;
-    std::unique_ptr<EngineStream> m_chunk; ///< Of the prompt, in progress.
-    Refusal m_refusal; ///< Why the request fails, if it does.
-    uint64_t m_position = 0; ///< Tokens that the caller has, or will have with the next flush.
-    uint64_t m_prefilled = 0; ///< Prompt tokens put into the engine's cache by chunks.
-    uint32_t m_resumes = 0; ///< Of the present attempt since its last frame.
-    RequestError m_expiry = RequestError::DeadlineExceeded; ///< Why the deadline ends it.
+    std::unique_ptr<EngineStream>
+        m_prefillStream; ///< Prefill chunk in progress; null if there is none.
+    Refusal m_refusal; ///< Reason of the failure, if the request fails.
+    uint64_t m_position = 0; ///< Output tokens sent to the client or waiting for the next flush.
+    uint64_t m_prefilled = 0; ///< Prompt tokens in the engine's cache.
+    uint32_t m_resumes = 0; ///< Of the current attempt since its last frame.
+    RequestError m_deadlineError =
+        RequestError::DeadlineExceeded; ///< Error to report once the deadline has passed.
     bool m_firstToken = false;
-    bool m_hungUp = false;
-    bool m_running = false; ///< The present attempt may run at its engine.
+    bool m_clientDisconnected = false;
+    bool m_mayBeRunning = false; ///< The current attempt may be running on its engine.
 };
 
 } // namespace stackquay
--- a/entry/ending.cpp
+++ b/entry/ending.cpp
@@ -4,20 +4,20 @@
 
 namespace {
 
-/// Another VM can take the request at once; this only keeps callers from coming back together.
+/// Another VM could accept a retry at once; the delay keeps clients from retrying all together.
 constexpr Millis RetryAfter{ 1'000 };
 
 } // namespace
 
-std::optional<Refusal> refuseIfEnding(const Node &node, TimePoint deadline)
+std::optional<Refusal> refuseIfShuttingDown(const Node &node, TimePoint deadline)
 {
     const TimePoint now = Clock::now();
     if (!node.m_ending && mayTake(node.drainPlan(), now, { deadline - now }))
         return std::nullopt;
-    return endingRefusal(Outcome::RefusedNotRun);
+    return shutdownRefusal(Outcome::RefusedNotRun);
 }
 
-Refusal endingRefusal(Outcome outcome)
+Refusal shutdownRefusal(Outcome outcome)
 {
     const bool notRun = outcome == Outcome::RefusedNotRun;
     Refusal refusal;
--- a/entry/ending.h
+++ b/entry/ending.h
@@ -1,4 +1,4 @@
-/// What callers are told by a daemon that was told to stop.
+/// Refusals that a daemon sends while it drains or shuts down.
 #pragma once
 
 #include <optional>
@@ -7,11 +7,12 @@
 
 namespace stackquay {
 
-/// Why a request that may take until @p deadline is not begun now; nothing: it is to be begun.
-std::optional<Refusal> refuseIfEnding(const Node &node, TimePoint deadline);
+/// Returns a refusal if the daemon is shutting down, or drains and cannot finish a request that may
+/// run until @p deadline. Returns nothing if the request may start.
+std::optional<Refusal> refuseIfShuttingDown(const Node &node, TimePoint deadline);
 
-/// The end of a request that the daemon does not wait for any longer. Only one that did not run
-/// gets the status and the header that invite a caller to repeat it.
-Refusal endingRefusal(Outcome outcome);
+/// Refusal of a request that the shutdown ends. Only with RefusedNotRun does it have the error and
+/// the Retry-After header that ask the client to retry.
+Refusal shutdownRefusal(Outcome outcome);
 
 } // namespace stackquay
--- a/entry/endpoint_table.cpp
+++ b/entry/endpoint_table.cpp
@@ -45,7 +45,7 @@
     const std::lock_guard lock(m_mutex);
     const bool ejected = stackquay::noteFailure(m_entries[id].m_health, now);
     if (ejected)
-        log(LogPart::Entry).warn("Endpoint ejected after failures. endpoint={}", id.str());
+        log(LogPart::Entry).warn("Endpoint ejected after repeated failures. endpoint={}", id.str());
 }
 
 void EndpointTable::setReported(const EndpointId &id, const ReportedLoad &load)
--- a/entry/endpoint_table.h
+++ b/entry/endpoint_table.h
@@ -1,6 +1,5 @@
-/// What this VM knows of its data centre's endpoints besides the intent: their health as seen by
-/// its own requests, and the load that they report. Shared by all threads; no lock is held across
-/// I/O.
+/// Runtime state of the endpoints of this data centre: their health as observed by this VM's
+/// requests, and the load that they report. Shared by all threads; no lock is held across I/O.
 #pragma once
 
 #include <mutex>
@@ -13,13 +12,16 @@
 class EndpointTable
 {
 public:
-    /// The endpoints of a route, in its order.
+    /// State of the endpoints of @p routes, in the same order.
     std::vector<EndpointView> views(const std::vector<EndpointRoute> &routes) const;
+    /// Counts an attempt in flight; noteEnded() must follow.
     void noteStarted(const EndpointId &id);
     void noteEnded(const EndpointId &id);
+    /// Resets the failures of the endpoint.
     void noteSuccess(const EndpointId &id);
-    /// Counts a failure that the endpoint is to blame for.
+    /// Counts a failure caused by the endpoint, which may eject it.
     void noteFailure(const EndpointId &id, TimePoint now);
+    /// Stores the load that the endpoint has reported.
     void setReported(const EndpointId &id, const ReportedLoad &load);
 
 private:
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -1,4 +1,5 @@
-/// Public header of the entry library: callers' HTTP and the life of requests.
+/// Public header of the entry library: the HTTP interface for clients, and the execution of
+/// requests.
 #pragma once
 
 #include "entry/http_routes.h"
--- a/entry/entry_metrics.cpp
+++ b/entry/entry_metrics.cpp
@@ -6,10 +6,11 @@
     : m_registry(registry)
     , m_attempts(registry.counter("stackquay_attempts_total", "Attempts sent to endpoints."))
     , m_retries(registry.counter("stackquay_retries_total", "Attempts after the first."))
-    , m_resumes(registry.counter("stackquay_resumes_total", "Cut streams resumed at their engine."))
+    , m_resumes(registry.counter("stackquay_resumes_total",
+                                 "Interrupted streams resumed at their engine."))
     , m_fallbacks(registry.counter("stackquay_steward_fallbacks_total",
                                    "Attempts placed without a steward."))
-    , m_tokens(registry.counter("stackquay_tokens_total", "Tokens passed on to callers."))
+    , m_tokens(registry.counter("stackquay_tokens_total", "Tokens forwarded to clients."))
 {
     for (const Outcome outcome :
          { Outcome::Complete, Outcome::FailedMayHaveRun, Outcome::RefusedNotRun }) {
--- a/entry/entry_metrics.h
+++ b/entry/entry_metrics.h
@@ -1,4 +1,4 @@
-/// Metrics of requests.
+/// Metrics of requests and their attempts.
 #pragma once
 
 #include <array>
@@ -19,8 +19,9 @@
     void countFallback() { m_fallbacks.add(); }
     void countResume() { m_resumes.add(); }
     void countTokens(uint64_t tokens) { m_tokens.add(tokens); }
-    /// Tokens passed on so far.
+    /// Output tokens forwarded to clients since the start.
     uint64_t tokens() const { return m_tokens.value(); }
+    /// Records the time to first token, measured from the arrival of the request.
     void recordTtft(const CustomerId &customer, const ModelId &model, LengthClass length,
                     Duration ttft);
 
--- a/entry/http_routes.cpp
+++ b/entry/http_routes.cpp
@@ -19,7 +19,7 @@
     const Status sent =
         exchange.respond({ status, { { "Content-Type", "text/plain" } }, std::move(text) });
     if (!sent)
-        log(LogPart::Entry).debug("Caller left before its answer.");
+        log(LogPart::Entry).debug("Client disconnected before the response was sent.");
 }
 
 void respondReady(const Node &node, HttpExchange &exchange)
@@ -38,7 +38,7 @@
 
 void handleExtra(const Node &node, const ExtraRoute &route, HttpExchange &exchange)
 {
-    const auto refusal = refuseIfEnding(node, Clock::now());
+    const auto refusal = refuseIfShuttingDown(node, Clock::now());
     if (refusal)
         return respondRefusal(exchange, RequestId(randomToken()), *refusal);
     route.m_handler(exchange);
--- a/entry/http_routes.h
+++ b/entry/http_routes.h
@@ -1,17 +1,17 @@
-/// All HTTP routes of a daemon, registered in one place.
+/// HTTP routes of a daemon.
 #pragma once
 
 #include "entry/traffic_worker.h"
 
 namespace stackquay {
 
-/// A route that another library adds, such as the operators' commands.
+/// A route added by another library, such as the operators' commands.
 struct ExtraRoute {
-    std::string m_path; ///< Exact.
+    std::string m_path; ///< Matches the whole path only.
     HttpHandler m_handler;
 };
 
-/// The handler of one traffic thread's server.
+/// Returns the request handler for the HTTP server of one traffic thread.
 HttpHandler makeRoutes(TrafficWorker &worker, std::vector<ExtraRoute> extra = {});
 
 } // namespace stackquay
--- a/entry/node.h
+++ b/entry/node.h
@@ -1,4 +1,4 @@
-/// What all threads of one daemon share.
+/// State that all threads of one daemon share.
 #pragma once
 
 #include "entry/admission_gate.h"
@@ -13,15 +13,15 @@
 
 struct NodeSettings {
     VmId m_vm;
-    std::string m_incarnation; ///< Unguessable; new at each start.
+    std::string m_incarnation; ///< Random token, new at each start of the process.
     DataCentreId m_dataCentre;
     RoutingPolicy m_policy = RoutingPolicy::Steward;
     DeadlineSettings m_deadlines;
-    /// An engine that sends nothing for this long after its first token is taken for dead.
+    /// After the first token, an engine that sends nothing for this long is considered dead.
     Millis m_streamIdleTimeout{ 10'000 };
     Millis m_connectTimeout{ 2'000 };
-    uint32_t m_resumeTries = 2; ///< Before another attempt is made elsewhere.
-    DrainPlan m_drain; ///< Its durations; when it began is in Node.
+    uint32_t m_maxResumeAttempts = 2; ///< Then the request is retried on another engine.
+    DrainPlan m_drain; ///< Durations only; the start of the drain is in Node.
 };
 
 struct Node {
@@ -30,10 +30,10 @@
         , m_requestChart(std::move(chart))
     { }
 
-    /// Who holds an engine's memory: "vm:incarnation".
+    /// Owner name "vm:incarnation" under which engines reserve memory for this process.
     std::string owner() const { return m_settings.m_vm.str() + ":" + m_settings.m_incarnation; }
 
-    /// With its beginning, if the node has been told to stop.
+    /// The drain settings with the start time, which is TimePoint{} unless the node drains.
     DrainPlan drainPlan() const
     {
         DrainPlan plan = m_settings.m_drain;
@@ -51,7 +51,9 @@
     ClaimGate m_claims;
     std::shared_ptr<PeerTraffic> m_peerTraffic = std::make_shared<PeerTraffic>();
     std::atomic<TimePoint> m_drainBegun{ TimePoint{} };
-    std::atomic<bool> m_ending{ false }; ///< No request is begun any more, nor goes on.
+    std::atomic<bool> m_ending{
+        false
+    }; ///< Shutting down: no request starts, and running ones fail.
 };
 
 } // namespace stackquay
--- a/entry/recorded_outcome.cpp
+++ b/entry/recorded_outcome.cpp
@@ -9,8 +9,8 @@
 
 using Json = nlohmann::json;
 
-constexpr size_t PlainGroup = 3; ///< Bytes that make one base64 group...
-constexpr size_t CodedGroup = 4; ///< ... of so many characters.
+constexpr size_t PlainGroup = 3; ///< Bytes of one base64 group.
+constexpr size_t CodedGroup = 4; ///< Characters of one base64 group.
 
 std::string encodeBase64(const std::string &plain)
 {
@@ -22,7 +22,7 @@
     return coded;
 }
 
-/// Padding decodes to zero bytes, so the true size is kept beside the text.
+/// OpenSSL decodes padding to zero bytes, so the plain size has to be stored and passed in.
 std::optional<std::string> decodeBase64(const std::string &coded, size_t plainSize)
 {
     std::string plain(coded.size() / CodedGroup * PlainGroup + 1, '\0');
@@ -65,7 +65,7 @@
 {
     const Json json = Json::parse(text, nullptr, false);
     if (!json.is_object())
-        return tl::unexpected(unknownOutcome("the kept outcome cannot be read"));
+        return tl::unexpected(unknownOutcome("the recorded outcome is not valid"));
     if (json.contains("failed"))
         return tl::unexpected(unknownOutcome("the call with this key failed and may have run"));
     HttpResponse response;
@@ -73,7 +73,7 @@
     const auto body =
         decodeBase64(json.value("body", std::string()), json.value("size", size_t(0)));
     if (!body)
-        return tl::unexpected(unknownOutcome("the kept outcome cannot be read"));
+        return tl::unexpected(unknownOutcome("the recorded outcome is not valid"));
     response.m_body = *body;
     for (const Json &header : json.value("headers", Json::array())) {
         if (!header.is_array() || header.size() != 3 || !header[0].is_string()
--- a/entry/recorded_outcome.h
+++ b/entry/recorded_outcome.h
@@ -1,5 +1,5 @@
-/// The outcome of a non-repeatable call as its claim keeps it, so that a repeat gets the same
-/// answer.
+/// Encodes the outcome of a non-repeatable call for its claim, so that a retry with the same
+/// idempotency key gets the same response.
 #pragma once
 
 #include "net/net.h"
@@ -7,9 +7,9 @@
 
 namespace stackquay {
 
-/// ASCII text; lossless for any body.
+/// Encodes as ASCII text. Header values and the body may hold any bytes.
 std::string encodeRecordedOutcome(const tl::expected<HttpResponse, Refusal> &outcome);
-/// The kept answer. A text that cannot be read counts as an unknown outcome.
+/// Decodes the recorded response. A recorded failure or an invalid text gives OutcomeUnknown.
 tl::expected<HttpResponse, Refusal> decodeRecordedOutcome(const std::string &text);
 
 } // namespace stackquay
--- a/entry/request_chart.h
+++ b/entry/request_chart.h
@@ -1,4 +1,4 @@
-/// Binds charts/request.scxml to the steps of a completion request.
+/// Binds the state chart charts/request.scxml to CompletionRun.
 #pragma once
 
 #include "core/core.h"
@@ -42,7 +42,8 @@
 using RequestChart = Chart<CompletionRun, RequestState, RequestEvent>;
 using RequestChartInstance = ChartInstance<CompletionRun, RequestState, RequestEvent>;
 
-/// Loads request.scxml from @p directory.
+/// Loads request.scxml from @p directory. Fails if the file is invalid or does not match the
+/// bindings.
 Result<RequestChart> loadRequestChart(const std::string &directory);
 
 } // namespace stackquay
--- a/entry/request_context.cpp
+++ b/entry/request_context.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view BearerPrefix = "Bearer ";
-constexpr size_t LongestIdempotencyKey = 255;
+constexpr size_t MaxIdempotencyKeyBytes = 255;
 
 tl::unexpected<Refusal> refuse(RequestError error, std::string message)
 {
@@ -58,7 +58,7 @@
         return refuse(RequestError::NoCapacity, "this VM has no configuration yet");
     context.m_customer = authenticate(request, *view);
     if (!context.m_customer)
-        return refuse(RequestError::Unauthenticated, "a valid bearer key is needed");
+        return refuse(RequestError::Unauthenticated, "a valid bearer key is required");
     context.m_view = std::move(view);
     const std::string_view priority = findHeader(request.m_headers, "Stackquay-Priority");
     if (!priority.empty()) {
@@ -72,16 +72,17 @@
         const auto parsed = parseDeadline(deadline);
         if (!parsed)
             return refuse(RequestError::InvalidRequest, parsed.error().m_message);
-        context.m_wishedDeadline = *parsed;
+        context.m_requestedDeadline = *parsed;
     }
     const std::string_view repeatable = findHeader(request.m_headers, "Stackquay-Repeatable");
     if (!repeatable.empty() && repeatable != "yes" && repeatable != "no")
         return refuse(RequestError::InvalidRequest, "Stackquay-Repeatable must be yes or no");
     context.m_repeatable = repeatable != "no";
     context.m_idempotencyKey = std::string(findHeader(request.m_headers, "Idempotency-Key"));
-    if (context.m_idempotencyKey.size() > LongestIdempotencyKey)
-        return refuse(RequestError::InvalidRequest,
-                      fmt::format("Idempotency-Key may have {} bytes", LongestIdempotencyKey));
+    if (context.m_idempotencyKey.size() > MaxIdempotencyKeyBytes)
+        return refuse(
+            RequestError::InvalidRequest,
+            fmt::format("Idempotency-Key must not exceed {} bytes", MaxIdempotencyKeyBytes));
     return context;
 }
 
--- a/entry/request_context.h
+++ b/entry/request_context.h
@@ -1,4 +1,4 @@
-/// What is fixed about a request when it arrives: who asks, how urgent, and until when.
+/// Properties of a request that its headers determine: customer, priority and deadline.
 #pragma once
 
 #include <optional>
@@ -10,19 +10,20 @@
 struct RequestContext {
     RequestId m_id;
     RoutingViewPtr m_view;
-    const Customer *m_customer = nullptr; ///< Lives in m_view.
+    const Customer *m_customer = nullptr; ///< Owned by m_view.
     int m_priority = 0;
-    bool m_repeatable = true;
+    bool m_repeatable = true; ///< Whether the request may be retried after it may have run.
     std::string m_idempotencyKey; ///< Empty: none.
-    std::optional<Millis> m_wishedDeadline;
+    std::optional<Millis> m_requestedDeadline; ///< From arrival; empty: the default applies.
     TimePoint m_arrived;
 };
 
-/// Reads the headers, and finds the customer by its bearer key.
+/// Parses the headers and authenticates the customer by the bearer key. Refuses the request if @p
+/// view is null.
 tl::expected<RequestContext, Refusal> makeRequestContext(const HttpRequest &request, RequestId id,
                                                          RoutingViewPtr view, TimePoint arrived);
 
-/// A refusal of something that has not run.
+/// Returns a refusal with the outcome RefusedNotRun.
 Refusal refuseNotRun(RequestError error, std::string message);
 
 } // namespace stackquay
--- a/entry/service_handler.cpp
+++ b/entry/service_handler.cpp
@@ -17,13 +17,13 @@
 
 constexpr std::string_view ServicePrefix = "/service/";
 constexpr Millis StoreRetryAfter{ 1'000 };
-/// How long the outcome of a call is tried to be kept before its caller is answered.
-constexpr Millis SettleTimeout{ 5'000 };
+/// Longest time to record the outcome of a call before its client gets the response.
+constexpr Millis ResolveTimeout{ 5'000 };
 
-/// "/service/NAME/rest?query" in its parts.
+/// A parsed target "/service/NAME/path?query".
 struct ServiceTarget {
     ServiceId m_service;
-    std::string m_rest; ///< With the leading slash and the query.
+    std::string m_pathAndQuery; ///< Starts with a slash.
 };
 
 std::optional<ServiceTarget> parseTarget(std::string_view target)
@@ -60,21 +60,21 @@
     return kept;
 }
 
-/// One call with its attempts.
+/// One call and its attempts.
 struct ServiceRun : ActiveRequest {
     ServiceRun(TrafficWorker &worker, const RequestContext &context, const ServiceRoute &route)
         : m_worker(worker)
         , m_context(context)
         , m_route(route)
     {
-        m_worker.runs().insert(this);
+        m_worker.activeRequests().insert(this);
     }
 
-    ~ServiceRun() override { m_worker.runs().erase(this); }
+    ~ServiceRun() override { m_worker.activeRequests().erase(this); }
     ServiceRun(const ServiceRun &) = delete;
     ServiceRun &operator=(const ServiceRun &) = delete;
 
-    void shutDown() override { m_breaker.cancel(); }
+    void shutDown() override { m_cancellation.cancel(); }
 
     TrafficWorker &m_worker;
     const RequestContext &m_context;
@@ -84,7 +84,7 @@
     TimePoint m_deadline;
     std::vector<AttemptFacts> m_attempts;
     std::vector<EndpointId> m_excluded;
-    ServiceCallBreaker m_breaker;
+    ServiceCallCancellation m_cancellation;
 };
 
 std::optional<size_t> chooseEndpoint(ServiceRun &run)
@@ -93,8 +93,8 @@
     return chooseRoundRobin(run.m_worker.roundRobin(), views, run.m_excluded, Clock::now());
 }
 
-/// Whether a call was ended by this process, which says nothing about the endpoint.
-bool brokenOff(const Error &error)
+/// Whether this process cancelled the call, in which case the endpoint has not failed.
+bool wasCancelled(const Error &error)
 {
     return error.m_code == ErrorCode::Cancelled;
 }
@@ -110,16 +110,16 @@
     run.m_worker.node().m_entryMetrics.countAttempt();
     endpoints.noteStarted(endpoint.m_id);
     auto response =
-        callService(run.m_worker.pool(), endpoint.m_address, std::move(call), run.m_breaker);
+        callService(run.m_worker.pool(), endpoint.m_address, std::move(call), run.m_cancellation);
     endpoints.noteEnded(endpoint.m_id);
     if (response)
         endpoints.noteSuccess(endpoint.m_id);
-    else if (!brokenOff(response.error().m_error))
+    else if (!wasCancelled(response.error().m_error))
         endpoints.noteFailure(endpoint.m_id, Clock::now());
     return response;
 }
 
-Refusal failureOf(const ServiceRun &run, const Error &error)
+Refusal callFailure(const ServiceRun &run, const Error &error)
 {
     Refusal refusal;
     refusal.m_outcome = requestOutcome(run.m_attempts);
@@ -151,12 +151,12 @@
 tl::expected<HttpResponse, Refusal> execute(ServiceRun &run)
 {
     for (;;) {
-        if (run.m_breaker.cancelled() || threadStopping())
-            return tl::unexpected(endingRefusal(requestOutcome(run.m_attempts)));
+        if (run.m_cancellation.cancelled() || threadStopping())
+            return tl::unexpected(shutdownRefusal(requestOutcome(run.m_attempts)));
         const auto index = chooseEndpoint(run);
         if (!index) {
             Refusal refusal =
-                failureOf(run, { ErrorCode::Unavailable, "no endpoint of the service" });
+                callFailure(run, { ErrorCode::Unavailable, "no endpoint of the service" });
             refusal.m_error = RequestError::NoCapacity;
             return tl::unexpected(std::move(refusal));
         }
@@ -168,14 +168,14 @@
         run.m_excluded.push_back(endpoint.m_id);
         const size_t sent = failure.m_notRun ? 0 : 1;
         run.m_attempts.push_back({ sent, EndpointReply::Nothing, false });
-        if (brokenOff(failure.m_error))
-            return tl::unexpected(endingRefusal(requestOutcome(run.m_attempts)));
+        if (wasCancelled(failure.m_error))
+            return tl::unexpected(shutdownRefusal(requestOutcome(run.m_attempts)));
         if (!mayRetry(run, failure.m_notRun))
-            return tl::unexpected(failureOf(run, failure.m_error));
+            return tl::unexpected(callFailure(run, failure.m_error));
     }
 }
 
-tl::expected<HttpResponse, Refusal> refuseClaim(const ClaimResult &result)
+tl::expected<HttpResponse, Refusal> answerExistingClaim(const ClaimResult &result)
 {
     switch (result.m_outcome) {
     case ClaimOutcome::InProgress:
@@ -196,20 +196,21 @@
     return tl::unexpected(std::move(refusal));
 }
 
-/// Keeps the outcome for repeats, or gives the claim up if nothing ran.
-void settleClaim(Node &node, const ClaimHandle &claim,
-                 const tl::expected<HttpResponse, Refusal> &outcome)
+/// Records the outcome for retries, or releases the claim if the call did not run.
+void resolveClaim(Node &node, const ClaimHandle &claim,
+                  const tl::expected<HttpResponse, Refusal> &outcome)
 {
-    const TimePoint deadline = Clock::now() + SettleTimeout;
+    const TimePoint deadline = Clock::now() + ResolveTimeout;
     const bool notRun = !outcome && outcome.error().m_outcome == Outcome::RefusedNotRun;
-    const Status settled =
+    const Status resolved =
         notRun ? node.m_claims.m_free(claim, deadline)
                : node.m_claims.m_record(claim, encodeRecordedOutcome(outcome), deadline);
-    if (!settled)
-        log(LogPart::Entry).warn("Claim is not settled. error={}", toString(settled.error()));
+    if (!resolved)
+        log(LogPart::Entry)
+            .warn("Claim could not be resolved. error={}", toString(resolved.error()));
 }
 
-/// Claims the key, runs the call if the claim is ours, and keeps what became of it.
+/// Claims the idempotency key, runs the call if the claim succeeded, and records the outcome.
 tl::expected<HttpResponse, Refusal> executeClaimed(ServiceRun &run)
 {
     Node &node = run.m_worker.node();
@@ -223,10 +224,10 @@
     request.m_deadline = run.m_deadline;
     const ClaimResult result = node.m_claims.m_claim(request);
     if (result.m_outcome != ClaimOutcome::Claimed)
-        return refuseClaim(result);
+        return answerExistingClaim(result);
     const ClaimHandle claim{ request.m_customer, request.m_key, request.m_attempt };
     auto outcome = execute(run);
-    settleClaim(node, claim, outcome);
+    resolveClaim(node, claim, outcome);
     return outcome;
 }
 
@@ -240,18 +241,19 @@
     const auto target = parseTarget(http.m_target);
     const ServiceRoute *route = target ? context->m_view->findService(target->m_service) : nullptr;
     if (!route)
-        return tl::unexpected(refuseNotRun(RequestError::ServiceNotFound, "no such service"));
+        return tl::unexpected(
+            refuseNotRun(RequestError::ServiceNotFound, "the service does not exist"));
     const bool repeatable = route->m_service.m_repeatable && context->m_repeatable;
     const TimePoint deadline =
-        requestDeadline(worker.node().m_settings.m_deadlines, context->m_wishedDeadline,
+        requestDeadline(worker.node().m_settings.m_deadlines, context->m_requestedDeadline,
                         LengthClass::Short, arrived);
-    if (auto ending = refuseIfEnding(worker.node(), deadline))
-        return tl::unexpected(std::move(*ending));
+    if (auto shutdown = refuseIfShuttingDown(worker.node(), deadline))
+        return tl::unexpected(std::move(*shutdown));
     ServiceRun run(worker, *context, *route);
     run.m_repeatable = repeatable;
     run.m_deadline = deadline;
     run.m_request.m_method = http.m_method;
-    run.m_request.m_target = target->m_rest;
+    run.m_request.m_target = target->m_pathAndQuery;
     run.m_request.m_headers = endToEndHeaders(http.m_headers);
     run.m_request.m_body = std::move(http.m_body);
     if (!repeatable && !context->m_idempotencyKey.empty())
@@ -275,7 +277,8 @@
     response->m_headers.push_back({ "Stackquay-Request-Id", id.str() });
     const Status sent = exchange.respond(*response);
     if (!sent)
-        log(LogPart::Entry).info("Caller left before its answer. request={}", id.str());
+        log(LogPart::Entry)
+            .info("Client disconnected before the response was sent. request={}", id.str());
 }
 
 } // namespace stackquay
--- a/entry/service_handler.h
+++ b/entry/service_handler.h
@@ -1,11 +1,11 @@
-/// Passes calls on to plain services.
+/// HTTP handler that forwards calls to plain services.
 #pragma once
 
 #include "entry/traffic_worker.h"
 
 namespace stackquay {
 
-/// Answers one call below /service/NAME/.
+/// Handles one call of /service/NAME/ until its response is sent.
 void handleService(TrafficWorker &worker, HttpExchange &exchange);
 
 } // namespace stackquay
--- a/entry/traffic_worker.cpp
+++ b/entry/traffic_worker.cpp
@@ -13,7 +13,7 @@
 void TrafficWorker::failRequests()
 {
     m_thread.post([this] {
-        for (ActiveRequest *run : m_runs)
+        for (ActiveRequest *run : m_activeRequests)
             run->shutDown();
     });
 }
--- a/entry/traffic_worker.h
+++ b/entry/traffic_worker.h
@@ -1,4 +1,4 @@
-/// One traffic thread with what belongs to it alone.
+/// One traffic thread and the objects that only this thread uses.
 #pragma once
 
 #include <unordered_set>
@@ -9,13 +9,14 @@
 
 namespace stackquay {
 
-/// A request in progress. Used on its thread.
+/// A request in progress. Used on its traffic thread only.
 class ActiveRequest
 {
 public:
     virtual ~ActiveRequest() = default;
 
-    /// Fails the request at once and truthfully, as the process ends.
+    /// Fails the request at once because the process shuts down. The client is told whether the
+    /// request may have run.
     virtual void shutDown() = 0;
 };
 
@@ -30,9 +31,9 @@
     PeerClient &peers() { return m_peers; }
     RandomEngine &random() { return m_random; }
     RoundRobinState &roundRobin() { return m_roundRobin; }
-    /// The requests in progress. On the thread.
-    std::unordered_set<ActiveRequest *> &runs() { return m_runs; }
-    /// Fails all requests in progress at once and truthfully. Any thread.
+    /// The requests in progress. Call on the thread only.
+    std::unordered_set<ActiveRequest *> &activeRequests() { return m_activeRequests; }
+    /// Calls shutDown() of all requests in progress. Thread-safe.
     void failRequests();
 
 private:
@@ -42,7 +43,7 @@
     PeerClient m_peers;
     RandomEngine m_random;
     RoundRobinState m_roundRobin;
-    std::unordered_set<ActiveRequest *> m_runs;
+    std::unordered_set<ActiveRequest *> m_activeRequests;
 };
 
 } // namespace stackquay
