--- a/entry/completion_run.cpp
+++ b/entry/completion_run.cpp
@@ -180,8 +180,7 @@
     m_prefillStream.reset();
     m_mayBeRunning = false;
     if (prefilled->m_prefilled == 0)
-        return RequestEvent::Prefilled; // The cache is full: the rest is prefilled by the attempt
-                                        // itself.
+        return RequestEvent::Prefilled; // The cache is full: the attempt prefills the rest.
     m_prefilled = prefilled->m_cached + prefilled->m_prefilled;
     m_placement->m_chunkTokens = nextChunk(m_worker, *m_placement, m_prefilled);
     return needsChunks() ? RequestEvent::ChunkDone : RequestEvent::Prefilled;
--- a/entry/placement.cpp
+++ b/entry/placement.cpp
@@ -41,8 +41,9 @@
     });
 }
 
-std::optional<size_t> chooseByPolicy(TrafficWorker &worker, const std::vector<EndpointView> &views,
-                                     const PlacementRequest &request)
+std::optional<size_t> chooseByLocalPolicy(TrafficWorker &worker,
+                                          const std::vector<EndpointView> &views,
+                                          const PlacementRequest &request)
 {
     const TimePoint now = Clock::now();
     if (worker.node().m_settings.m_policy == RoutingPolicy::RoundRobin)
@@ -50,12 +51,12 @@
     return chooseLeastReported(views, request.m_excluded, now, worker.random());
 }
 
-tl::expected<Placement, Refusal> placeByReportedLoad(TrafficWorker &worker, const ModelRoute &route,
-                                                     const PlacementRequest &request)
+tl::expected<Placement, Refusal> placeByLocalPolicy(TrafficWorker &worker, const ModelRoute &route,
+                                                    const PlacementRequest &request)
 {
     Node &node = worker.node();
     const auto views = node.m_endpoints.views(route.m_endpoints);
-    const auto index = chooseByPolicy(worker, views, request);
+    const auto index = chooseByLocalPolicy(worker, views, request);
     if (!index)
         return tl::unexpected(noEndpointRefusal(request));
     const EndpointRoute &endpoint = route.m_endpoints[*index];
@@ -215,7 +216,7 @@
 {
     const bool steward = worker.node().m_settings.m_policy == RoutingPolicy::Steward;
     auto placement = steward ? placeBySteward(worker, route, request, wait)
-                             : placeByReportedLoad(worker, route, request);
+                             : placeByLocalPolicy(worker, route, request);
     wait.m_steward.reset();
     if (placement)
         worker.node().m_endpoints.noteStarted(placement->m_endpoint);
