--- a/entry/completion_run.cpp
+++ b/entry/completion_run.cpp
@@ -278,7 +278,7 @@
 bool CompletionRun::forwardTokens(const TokenFrame &frame)
 {
     noteFirstToken();
-    m_resumes = 0;
+    m_resumeAttempts = 0;
     m_answer.append(frame);
     m_position = frame.m_index + frame.m_count;
     m_attempts.back().m_reply = EndpointReply::Partial;
@@ -310,9 +310,9 @@
         m_excluded.push_back(m_placement->m_endpoint);
         return RequestEvent::Gone;
     };
-    while (m_resumes < node.m_settings.m_maxResumeAttempts && !m_clientDisconnected
+    while (m_resumeAttempts < node.m_settings.m_maxResumeAttempts && !m_clientDisconnected
            && !deadlinePassed()) {
-        ++m_resumes;
+        ++m_resumeAttempts;
         node.m_entryMetrics.countResume();
         const Status resumed = m_stream->resume(timeout(node.m_settings.m_connectTimeout));
         if (resumed)
@@ -424,7 +424,7 @@
     m_stream.reset();
     m_prefillStream.reset();
     m_prefilled = 0;
-    m_resumes = 0;
+    m_resumeAttempts = 0;
 }
 
 void CompletionRun::noteFirstToken()
--- a/entry/completion_run.h
+++ b/entry/completion_run.h
@@ -84,17 +84,14 @@
     AttemptReport m_report; ///< Of the current attempt.
     TimePoint m_firstTokenAt;
     AttemptId m_attempt;
-    AttemptId m_runningAttempt; ///< Id of the last call sent to the engine: m_attempt, or of a
-                                ///< prefill chunk.
+    AttemptId m_runningAttempt; ///< Last id sent to the engine: m_attempt, or a prefill chunk's.
     std::unique_ptr<EngineStream> m_stream;
-    std::unique_ptr<EngineStream>
-        m_prefillStream; ///< Prefill chunk in progress; null if there is none.
+    std::unique_ptr<EngineStream> m_prefillStream; ///< Prefill chunk in progress, or null.
     Refusal m_refusal; ///< Reason of the failure, if the request fails.
     uint64_t m_position = 0; ///< Output tokens sent to the client or waiting for the next flush.
     uint64_t m_prefilled = 0; ///< Prompt tokens in the engine's cache.
-    uint32_t m_resumes = 0; ///< Of the current attempt since its last frame.
-    RequestError m_deadlineError =
-        RequestError::DeadlineExceeded; ///< Error to report once the deadline has passed.
+    uint32_t m_resumeAttempts = 0; ///< Of the current attempt since its last frame.
+    RequestError m_deadlineError = RequestError::DeadlineExceeded; ///< See handleDeadline().
     bool m_firstToken = false;
     bool m_clientDisconnected = false;
     bool m_mayBeRunning = false; ///< The current attempt may be running on its engine.
