--- a/peers/codec.h
+++ b/peers/codec.h
@@ -18,7 +18,7 @@
     return { buffer.data(), buffer.size() };
 }
 
-/// ProtocolError unless @p bytes are one well-formed Message and nothing else.
+/// Decodes exactly one message. ProtocolError if @p bytes are malformed or have trailing bytes.
 template<typename Message>
 Result<Message> decodeMessage(std::string_view bytes)
 {
@@ -31,7 +31,7 @@
         const msgpack::object_handle handle =
             msgpack::unpack(bytes.data(), bytes.size(), offset, nullptr, nullptr, limits);
         if (offset != bytes.size())
-            return makeError(ErrorCode::ProtocolError, "bytes after the message");
+            return makeError(ErrorCode::ProtocolError, "trailing bytes after the message");
         return handle.get().as<Message>();
     } catch (const std::exception &exception) {
         return makeError(ErrorCode::ProtocolError, exception.what());
--- a/peers/membership.cpp
+++ b/peers/membership.cpp
@@ -25,7 +25,7 @@
     MembershipOptions m_options;
     std::shared_ptr<PeerTraffic> m_traffic;
     DatagramSocket m_socket;
-    VmInfo m_self; ///< Until start().
+    VmInfo m_self; ///< Used until start() creates m_state.
     std::optional<MembershipState> m_state;
     ChangeCallback m_callback;
     std::atomic<MemberListPtr> m_list;
@@ -52,7 +52,7 @@
     m_traffic->m_datagramBytesIn += bytes.size();
     const Result<MembershipMessage> message = decodeMessage<MembershipMessage>(bytes);
     if (!message || message->m_group != m_state->group()) {
-        ++m_traffic->m_datagramsRefused;
+        ++m_traffic->m_datagramsRejected;
         return;
     }
     send(m_state->receive(from, *message, Clock::now()));
@@ -126,7 +126,7 @@
     const uint64_t seed = stableHash(self.m_id.str(), self.m_incarnation);
     m_driver->m_state.emplace(self, m_driver->m_options, seed, Clock::now());
     m_driver->publishIfChanged();
-    // The driver owns the socket, so that the receiver must not own the driver.
+    // The driver owns the socket, so a strong reference in the receiver would be a cycle.
     m_driver->m_socket.receive(
         [weak = std::weak_ptr(m_driver)](const Address &from, std::string_view bytes) {
             const auto driver = weak.lock();
--- a/peers/membership.h
+++ b/peers/membership.h
@@ -1,4 +1,4 @@
-/// Membership of the data centre over UDP, for the control thread.
+/// Runs the membership protocol of a data centre over UDP on the control thread.
 #pragma once
 
 #include <atomic>
@@ -22,18 +22,18 @@
     Membership(const Membership &) = delete;
     Membership &operator=(const Membership &) = delete;
 
-    /// Binds the UDP socket; port 0 takes one from the kernel. A port of 0 in the VM's own m_udp
+    /// Binds the UDP socket; with port 0 the kernel chooses one. A port of 0 in the VM's own m_udp
     /// becomes the bound one. Call once, before the thread starts or on it, and after onChange().
     Result<Address> start(const Address &bind);
     void onChange(ChangeCallback callback);
 
-    /// The present list. Any thread.
+    /// The current list, never null. Any thread.
     MemberListPtr list() const;
 
-    // Any thread; each takes effect soon after.
+    // Callable on any thread; each takes effect asynchronously on the control thread.
     void setSeeds(std::vector<Address> seeds);
     void markLeaving(const VmId &id);
-    /// Tells the others that this VM leaves.
+    /// Announces to the other VMs that this VM is leaving.
     void leave();
     void setIntentRevision(uint64_t revision);
     void addNotice(const EndpointNotice &notice);
--- a/peers/rpc.h
+++ b/peers/rpc.h
@@ -21,7 +21,7 @@
 
 namespace stackquay {
 
-/// Answers calls on one FiberThread, each in a fiber of its own.
+/// Serves RPC calls on one FiberThread, each in its own fiber.
 class PeerServer
 {
 public:
@@ -32,7 +32,8 @@
     PeerServer(const PeerServer &) = delete;
     PeerServer &operator=(const PeerServer &) = delete;
 
-    /// Registers the handler of a request type. Before listen(). The handler may block its fiber.
+    /// Registers the handler of a request type. Call before listen(). The handler may block its
+    /// fiber.
     template<typename Request, typename Handler>
     void handle(Handler handler)
     {
@@ -41,9 +42,10 @@
         });
     }
 
-    /// Binds and starts to accept. Port 0 takes one from the kernel.
+    /// Binds and starts accepting connections. With port 0 the kernel chooses one. Returns the
+    /// bound address.
     Result<Address> listen(const Address &address);
-    /// Accepts no more and closes every connection. On the thread.
+    /// Stops accepting and closes all connections. Call on the thread.
     void close();
 
 private:
@@ -67,7 +69,7 @@
     std::shared_ptr<State> m_state;
 };
 
-/// Calls to other daemons from the fibers of one thread: one kept connection per address, shared by
+/// Calls other daemons from the fibers of one thread. Keeps one connection per address, shared by
 /// all calls in flight to it.
 class PeerClient
 {
@@ -79,9 +81,9 @@
     PeerClient(const PeerClient &) = delete;
     PeerClient &operator=(const PeerClient &) = delete;
 
-    /// One call. Errors: Unavailable: it was not sent; OutcomeUnknown: the connection was lost
-    /// after sending; DeadlineExceeded: no answer within @p timeout (sent or not); ProtocolError;
-    /// or the error that the handler returned.
+    /// Makes one call. Errors: Unavailable: it was not sent; OutcomeUnknown: the connection was
+    /// lost after sending; DeadlineExceeded: no answer within @p timeout (sent or not);
+    /// ProtocolError; or the error that the handler returned.
     template<typename Request, typename Reply = typename Request::Reply>
     Result<Reply> call(const Address &address, const Request &request, Duration timeout)
     {
@@ -92,7 +94,7 @@
         return decodeMessage<Reply>(*reply);
     }
 
-    /// Open connections.
+    /// Number of connections, including those being opened.
     size_t connections() const;
 
 private:
--- a/peers/rpc_channel.cpp
+++ b/peers/rpc_channel.cpp
@@ -111,7 +111,8 @@
     const size_t size = boost::endian::load_big_u32(length);
     if (size > m_limits.m_frameBytes) {
         close();
-        return makeError(ErrorCode::ProtocolError, fmt::format("a frame of {} bytes", size));
+        return makeError(ErrorCode::ProtocolError,
+                         fmt::format("frame of {} bytes exceeds the limit", size));
     }
     std::string body(size, '\0');
     status = readBytes(body.data(), size);
@@ -121,7 +122,7 @@
     auto frame = decodeMessage<RpcFrame>(body);
     if (frame && frame->m_version != Version)
         frame = makeError(ErrorCode::ProtocolError,
-                          fmt::format("version {} is not known", frame->m_version));
+                          fmt::format("unknown frame version {}", frame->m_version));
     if (!frame)
         close();
     return frame;
--- a/peers/rpc_channel.h
+++ b/peers/rpc_channel.h
@@ -14,17 +14,19 @@
 
 namespace stackquay {
 
-/// What a connection between daemons accepts.
+/// Limits of a connection between daemons.
 struct RpcLimits {
     size_t m_frameBytes = 8 * 1024 * 1024;
-    size_t m_queuedBytes = 32 * 1024 * 1024; ///< Unsent; a peer that reads slower is cut off.
+    size_t m_queuedBytes = 32 * 1024 * 1024; ///< Unsent bytes; above this, send() fails.
     size_t m_callsInFlight = 4096; ///< Per connection.
     size_t m_connections = 4096;
-    Millis m_clientIdle{ 60'000 }; ///< The client closes first, so that no call meets a close.
+    Millis m_clientIdle{
+        60'000
+    }; ///< Shorter than the server's, so that no call is sent while the server closes.
     Millis m_serverIdle{ 180'000 };
-    /// A connection that brought nothing while a call waited so long for its answer takes no
-    /// further call; the next opens another. A connection within a data centre takes a few ms, and
-    /// a lost packet is sent again after 200.
+    /// If a call times out after at least this time and no frame arrived meanwhile, the connection
+    /// gets no new calls and the next call opens another. Connecting within a data centre takes a
+    /// few ms, and TCP retransmits a lost packet after 200 ms.
     Millis m_replaceAfter{ 300 };
     SilenceBounds m_silence;
 };
@@ -38,7 +40,7 @@
 struct RpcFrame {
     uint8_t m_version = 0;
     RpcKind m_kind = RpcKind::Request;
-    uint64_t m_callId = 0; ///< Chosen by the client; the answer repeats it.
+    uint64_t m_callId = 0; ///< Chosen by the client; the reply repeats it.
     std::string m_method; ///< Requests: the name of the message type.
     uint8_t m_errorCode = 0; ///< Failures: an ErrorCode.
     std::string m_payload; ///< The encoded message; failures: the error's text.
@@ -46,7 +48,7 @@
     MSGPACK_DEFINE(m_version, m_kind, m_callId, m_method, m_errorCode, m_payload)
 };
 
-/// Used by the fibers of one thread only.
+/// Sends and receives frames on one connection. Used by the fibers of one thread only.
 class RpcChannel : public std::enable_shared_from_this<RpcChannel>
 {
 public:
@@ -56,13 +58,14 @@
                std::shared_ptr<PeerTraffic> traffic);
 
     Status connect(const Address &address, Duration timeout);
-    /// Queues a frame; a fiber of its own writes it. ResourceExhausted if too much is queued.
+    /// Queues a frame; a separate fiber writes it. ResourceExhausted if the frame is too long or
+    /// too many bytes are queued. Unavailable if the connection is closed.
     Status send(const RpcFrame &frame);
     /// Waits for the next frame. Any error means that the connection is closed.
     Result<RpcFrame> receive();
     void close();
     bool open() const { return m_open; }
-    /// Whether any frame was handed to the operating system.
+    /// Whether any bytes were passed to the operating system.
     bool wroteAny() const { return m_wroteAny; }
 
 private:
--- a/peers/rpc_client.cpp
+++ b/peers/rpc_client.cpp
@@ -9,13 +9,13 @@
 
 constexpr Millis ConnectTimeout{ 2'000 };
 
-/// A call that waits for its answer. Lives on the stack of the calling fiber.
+/// A call that waits for its reply. Stored on the stack of the calling fiber.
 struct PendingCall {
     explicit PendingCall(asio::io_context &context)
         : m_timer(context)
     { }
 
-    ClockTimer m_timer; ///< Ends the wait: at the deadline, or cancelled by the answer.
+    ClockTimer m_timer; ///< Ends the wait at the deadline, or when the reply cancels it.
     bool m_done = false;
     Result<std::string> m_reply;
 
@@ -36,7 +36,7 @@
         if (error)
             complete(makeError(ErrorCode::Cancelled, "the thread is stopping"));
         else
-            complete(makeError(ErrorCode::DeadlineExceeded, "no answer from the peer in time"));
+            complete(makeError(ErrorCode::DeadlineExceeded, "no reply from the peer in time"));
     }
 };
 
@@ -54,17 +54,17 @@
 struct Connection : std::enable_shared_from_this<Connection> {
     std::shared_ptr<RpcChannel> m_channel;
     std::unordered_map<uint64_t, PendingCall *> m_pending;
-    std::vector<RpcFrame> m_beforeConnect; ///< Frames that wait for the connection.
-    TimePoint m_heardAt{}; ///< When the last frame came.
+    std::vector<RpcFrame> m_unsentFrames; ///< Queued until the connection is open.
+    TimePoint m_lastFrameAt{}; ///< When the last frame was received.
     bool m_connected = false;
     bool m_closed = false;
-    bool m_retired = false; ///< Ends with its last call.
+    bool m_retired = false; ///< Gets no new calls; closed after its last one.
 
     Status send(const RpcFrame &frame)
     {
         if (m_connected)
             return m_channel->send(frame);
-        m_beforeConnect.push_back(frame);
+        m_unsentFrames.push_back(frame);
         return {};
     }
 
@@ -76,16 +76,16 @@
             return;
         }
         m_connected = true;
-        for (const RpcFrame &frame : m_beforeConnect)
+        for (const RpcFrame &frame : m_unsentFrames)
             m_channel->send(frame);
-        m_beforeConnect.clear();
+        m_unsentFrames.clear();
         for (;;) {
             Result<RpcFrame> frame = m_channel->receive();
             if (!frame) {
                 fail({ ErrorCode::OutcomeUnknown, frame.error().m_message });
                 return;
             }
-            m_heardAt = Clock::now();
+            m_lastFrameAt = Clock::now();
             const auto call = m_pending.find(frame->m_callId);
             if (call != m_pending.end())
                 call->second->complete(toReply(std::move(*frame)));
@@ -126,21 +126,20 @@
                                                        m_limits.m_clientIdle, m_traffic);
         spawnFiber([self = shared_from_this(), connection = slot, address] {
             connection->run(address);
-            const auto present = self->m_connections.find(address);
-            if (present != self->m_connections.end() && present->second == connection)
-                self->m_connections.erase(present);
+            const auto current = self->m_connections.find(address);
+            if (current != self->m_connections.end() && current->second == connection)
+                self->m_connections.erase(current);
         });
         return slot;
     }
 
-    /// Lets the next call open another connection; those in flight may still be answered on this
-    /// one.
+    /// Makes the next call open another connection; calls in flight may still complete on this one.
     void retire(const Address &address, const std::shared_ptr<Connection> &connection)
     {
         connection->m_retired = true;
-        const auto present = m_connections.find(address);
-        if (present != m_connections.end() && present->second == connection)
-            m_connections.erase(present);
+        const auto current = m_connections.find(address);
+        if (current != m_connections.end() && current->second == connection)
+            m_connections.erase(current);
     }
 };
 
@@ -171,7 +170,7 @@
     frame.m_callId = ++state->m_lastCallId;
     frame.m_method = std::string(name);
     frame.m_payload = std::move(payload);
-    const TimePoint begun = Clock::now();
+    const TimePoint startedAt = Clock::now();
     const auto connection = state->connectionTo(address);
     PendingCall call(state->m_context);
     connection->m_pending.emplace(frame.m_callId, &call);
@@ -183,8 +182,8 @@
     connection->m_pending.erase(frame.m_callId);
     const bool unanswered =
         !call.m_reply && call.m_reply.error().m_code == ErrorCode::DeadlineExceeded;
-    const bool silent =
-        connection->m_heardAt < begun && Clock::now() - begun >= state->m_limits.m_replaceAfter;
+    const bool silent = connection->m_lastFrameAt < startedAt
+                        && Clock::now() - startedAt >= state->m_limits.m_replaceAfter;
     if (unanswered && silent)
         state->retire(address, connection);
     if (connection->m_retired && connection->m_pending.empty())
--- a/peers/rpc_server.cpp
+++ b/peers/rpc_server.cpp
@@ -116,7 +116,7 @@
     const auto handler = m_handlers.find(request.m_method);
     if (handler == m_handlers.end())
         return makeError(ErrorCode::InvalidArgument,
-                         fmt::format("'{}' is not a known call", request.m_method));
+                         fmt::format("unknown RPC method '{}'", request.m_method));
     return handler->second(request.m_payload);
 }
 
--- a/peers/traffic.h
+++ b/peers/traffic.h
@@ -1,4 +1,4 @@
-/// Counts of what a daemon exchanges with its peers. Safe from any thread.
+/// Counters of the traffic between a daemon and its peers. Thread-safe.
 #pragma once
 
 #include <atomic>
@@ -12,7 +12,7 @@
     std::atomic<uint64_t> m_datagramBytesOut{ 0 };
     std::atomic<uint64_t> m_datagramsIn{ 0 };
     std::atomic<uint64_t> m_datagramsOut{ 0 };
-    std::atomic<uint64_t> m_datagramsRefused{ 0 }; ///< Malformed, or of another data centre.
+    std::atomic<uint64_t> m_datagramsRejected{ 0 }; ///< Malformed, or of another data centre.
     std::atomic<uint64_t> m_rpcBytesIn{ 0 };
     std::atomic<uint64_t> m_rpcBytesOut{ 0 };
     std::atomic<uint64_t> m_rpcCalls{ 0 }; ///< Calls made.
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -8,7 +8,7 @@
 namespace stackquay {
 namespace {
 
-/// A membership on a thread of its own whose changes can be waited for.
+/// A membership on its own thread; tests can wait for its changes.
 class RunningVm
 {
 public:
@@ -92,7 +92,7 @@
     second.await([](const MemberList &list) { return !list.find(VmId("vm-3")); });
     EXPECT_GT(first.m_traffic->m_datagramBytesIn, 0u);
     EXPECT_GT(first.m_traffic->m_datagramBytesOut, 0u);
-    EXPECT_EQ(first.m_traffic->m_datagramsRefused, 0u);
+    EXPECT_EQ(first.m_traffic->m_datagramsRejected, 0u);
 }
 
 } // namespace
--- a/tests/peers/rpc_test.cpp
+++ b/tests/peers/rpc_test.cpp
@@ -147,7 +147,7 @@
         release.set_value();
         released.get_future().wait();
     });
-    // The late answer has no caller any more, and must not disturb the next.
+    // The late reply has no waiting call any more and must not affect the next call.
     onClient([&](PeerClient &client) {
         const auto reply = client.call<Echo>(m_address, { "next" }, Patience);
         ASSERT_TRUE(reply);
