--- a/peers/intent_relay.cpp
+++ b/peers/intent_relay.cpp
@@ -28,7 +28,8 @@
     std::atomic<uint64_t> m_revision{ 0 };
     std::atomic<bool> m_ready{ false };
     bool m_applying = false;
-    std::optional<RevisionText> m_next; ///< The highest offered while another is applied.
+    /// Highest revision offered while another is being applied.
+    std::optional<RevisionText> m_pendingOffer;
     bool m_pulling = false;
     bool m_watching = false;
 
@@ -37,7 +38,7 @@
     RevisionSpread spread(uint64_t revision);
 
     void loadAtStart();
-    void watchWhenChosen();
+    void watchLoop();
     void pull();
     bool pullOnce();
     std::vector<VmInfo> sources() const;
@@ -50,8 +51,8 @@
         return {};
     }
     if (m_applying) {
-        if (!m_next || text.m_revision > m_next->m_revision)
-            m_next = std::move(text);
+        if (!m_pendingOffer || text.m_revision > m_pendingOffer->m_revision)
+            m_pendingOffer = std::move(text);
         return {};
     }
     m_applying = true;
@@ -69,18 +70,18 @@
             .error("Revision not applied. revision={} error={}", text.m_revision,
                    toString(applied.error()));
     }
-    if (!m_next)
+    if (!m_pendingOffer)
         return applied;
-    RevisionText next = std::move(*m_next);
-    m_next.reset();
+    RevisionText next = std::move(*m_pendingOffer);
+    m_pendingOffer.reset();
     return offer(std::move(next));
 }
 
 Result<RevisionSteps> IntentRelay::State::answer(const RevisionFetch &request) const
 {
-    if (m_history.present().m_revision <= request.m_above)
+    if (m_history.present().m_revision <= request.m_afterRevision)
         return makeError(ErrorCode::NotFound, "no higher revision here");
-    auto steps = m_history.stepsFrom(request.m_above);
+    auto steps = m_history.stepsFrom(request.m_afterRevision);
     if (!steps)
         return tl::unexpected(steps.error());
     return RevisionSteps{ std::move(*steps) };
@@ -105,7 +106,7 @@
     }
 }
 
-void IntentRelay::State::watchWhenChosen()
+void IntentRelay::State::watchLoop()
 {
     do {
         const MemberListPtr list = m_membership.list();
@@ -123,7 +124,7 @@
             self->m_hooks.m_watch(self->m_history.present().m_revision, take);
             self->m_watching = false;
         });
-    } while (sleepFor(m_thread.context(), m_options.m_rolePeriod));
+    } while (sleepFor(m_thread.context(), m_options.m_roleCheckInterval));
 }
 
 // Peers.
@@ -151,11 +152,11 @@
         m_client.call<RevisionFetch>(source.m_peer, request, m_options.m_fetchTimeout);
     if (!reply)
         return false;
-    if (m_history.present().m_revision != request.m_above)
-        return true; // Another came in the meantime.
-    Result<RevisionText> text = m_history.follow(reply->m_steps);
-    if (text && text->m_revision <= request.m_above)
-        text = makeError(ErrorCode::ProtocolError, "no higher revision in the answer");
+    if (m_history.present().m_revision != request.m_afterRevision)
+        return true; // Another revision was applied in the meantime.
+    Result<RevisionText> text = m_history.applySteps(reply->m_steps);
+    if (text && text->m_revision <= request.m_afterRevision)
+        text = makeError(ErrorCode::ProtocolError, "no higher revision in the reply");
     if (!text) {
         log(LogPart::Peers)
             .warn("Revision from a peer refused. vm={} error={}", source.m_id.str(),
@@ -182,15 +183,15 @@
 
 RevisionSpread IntentRelay::State::spread(uint64_t revision)
 {
-    /// Shared with the asking fibers, which may outlive the wait.
-    struct Asked {
+    /// Shared with the querying fibers, which may outlive the wait.
+    struct PendingQueries {
         boost::fibers::mutex m_mutex;
         boost::fibers::condition_variable m_changed;
         size_t m_pending = 0;
         std::vector<VmId> m_behind;
     };
     const MemberListPtr list = m_membership.list();
-    const auto asked = std::make_shared<Asked>();
+    const auto queries = std::make_shared<PendingQueries>();
     RevisionSpread spread;
     for (const VmInfo &vm : list->m_vms) {
         ++spread.m_vms;
@@ -202,19 +203,20 @@
             spread.m_behind.push_back(vm.m_id);
             continue;
         }
-        ++asked->m_pending;
-        spawnFiber([self = shared_from_this(), asked, vm, revision] {
+        ++queries->m_pending;
+        spawnFiber([self = shared_from_this(), queries, vm, revision] {
             const auto reply =
                 self->m_client.call<RevisionQuery>(vm.m_peer, {}, self->m_options.m_queryTimeout);
             if (!reply || reply->m_revision < revision)
-                asked->m_behind.push_back(vm.m_id);
-            --asked->m_pending;
-            asked->m_changed.notify_all();
+                queries->m_behind.push_back(vm.m_id);
+            --queries->m_pending;
+            queries->m_changed.notify_all();
         });
     }
-    std::unique_lock lock(asked->m_mutex);
-    asked->m_changed.wait(lock, [&] { return asked->m_pending == 0; });
-    spread.m_behind.insert(spread.m_behind.end(), asked->m_behind.begin(), asked->m_behind.end());
+    std::unique_lock lock(queries->m_mutex);
+    queries->m_changed.wait(lock, [&] { return queries->m_pending == 0; });
+    spread.m_behind.insert(spread.m_behind.end(), queries->m_behind.begin(),
+                           queries->m_behind.end());
     std::sort(spread.m_behind.begin(), spread.m_behind.end());
     return spread;
 }
@@ -238,7 +240,7 @@
 void IntentRelay::start()
 {
     m_state->m_thread.post([state = m_state] { state->loadAtStart(); });
-    m_state->m_thread.post([state = m_state] { state->watchWhenChosen(); });
+    m_state->m_thread.post([state = m_state] { state->watchLoop(); });
 }
 
 void IntentRelay::membersChanged(const MemberListPtr &list)
--- a/peers/intent_relay.h
+++ b/peers/intent_relay.h
@@ -1,8 +1,8 @@
-/// Spreads revisions of the declared intent inside a data centre.
+/// Replicates revisions of the declared intent inside a data centre.
 ///
 /// Two VMs watch the store on behalf of all. Every probe carries the revision in force at its
-/// sender; who learns of a higher one pulls the difference from a VM that has it. Only higher
-/// revisions are taken.
+/// sender. A VM that receives a higher revision number pulls the patches from a VM that has it.
+/// A revision is applied only if it is higher than the one in force.
 #pragma once
 
 #include <functional>
@@ -19,12 +19,12 @@
     MSGPACK_DEFINE(m_steps)
 };
 
-/// NotFound if the VM has no higher revision than m_above.
+/// Requests the patches that follow m_afterRevision. NotFound if the VM has no higher revision.
 struct RevisionFetch {
     using Reply = RevisionSteps;
     static constexpr std::string_view RpcName = "revision.fetch";
-    uint64_t m_above = 0;
-    MSGPACK_DEFINE(m_above)
+    uint64_t m_afterRevision = 0;
+    MSGPACK_DEFINE(m_afterRevision)
 };
 
 struct RevisionInForce {
@@ -39,14 +39,14 @@
     MSGPACK_DEFINE(m_unused)
 };
 
-/// Where a data centre stands with a revision.
+/// How many VMs of a data centre have applied a revision.
 struct RevisionSpread {
     uint32_t m_vms = 0;
-    std::vector<VmId> m_behind; ///< Have a lower one, or did not answer.
+    std::vector<VmId> m_behind; ///< VMs that have a lower revision, or did not reply.
     MSGPACK_DEFINE(m_vms, m_behind)
 };
 
-/// Asks one VM about its whole data centre.
+/// Asks one VM for the RevisionSpread of its whole data centre.
 struct RevisionSpreadQuery {
     using Reply = RevisionSpread;
     static constexpr std::string_view RpcName = "revision.spread";
@@ -54,50 +54,56 @@
     MSGPACK_DEFINE(m_revision)
 };
 
-/// What the relay needs from the daemon. All are called in fibers of the control thread.
+/// Callbacks into the daemon. All are called in fibers of the control thread.
 struct IntentRelayHooks {
     using Taker = std::function<void(RevisionText)>;
 
-    /// Reads the present revision from the store.
+    /// Reads the current revision from the store.
     std::function<Result<RevisionText>()> m_load;
-    /// Hands over each higher revision that the store gets, until m_stopWatch or the thread stops.
+    /// Passes each revision above the given one that is written to the store to the callback.
+    /// Blocks the fiber until m_stopWatch is called or the thread stops.
     std::function<void(uint64_t above, const Taker &)> m_watch;
     std::function<void()> m_stopWatch;
-    /// Brings a revision into force. On an error the present one stays.
+    /// Applies a revision. On an error the current one stays in force.
     std::function<Status(const RevisionText &)> m_apply;
 };
 
 struct IntentRelayOptions {
     Millis m_fetchTimeout{ 3'000 };
     Millis m_queryTimeout{ 1'000 };
-    Millis m_rolePeriod{ 1'000 }; ///< How often the VM looks whether it has to watch.
-    Millis m_retry{ 200 }; ///< First wait after a failed pull or load; doubles up to m_retryMax.
+    Millis m_roleCheckInterval{
+        1'000
+    }; ///< Interval of the check whether this VM is a store watcher.
+    Millis m_retry{ 200 }; ///< First delay after a failed pull or load; doubles up to m_retryMax.
     Millis m_retryMax{ 5'000 };
 };
 
 class IntentRelay
 {
 public:
-    /// Registers its calls with @p server; all arguments must outlive the thread's run.
+    /// Registers its RPC handlers with @p server. All references must stay valid until the thread
+    /// has stopped.
     IntentRelay(FiberThread &thread, Membership &membership, PeerServer &server, PeerClient &client,
                 IntentRelayHooks hooks, IntentRelayOptions options = {});
     ~IntentRelay();
     IntentRelay(const IntentRelay &) = delete;
     IntentRelay &operator=(const IntentRelay &) = delete;
 
-    /// Starts to load and to watch. On the thread, or before it starts.
+    /// Starts loading from the store and watching it. Call on the thread, or before it starts.
     void start();
     /// To be called from the membership's change callback.
     void membersChanged(const MemberListPtr &list);
-    /// Brings a revision into force here if it is higher than the present one. On the thread.
+    /// Applies a revision if it is higher than the current one; ignores it otherwise. While another
+    /// is being applied, only the highest offered one is kept and applied next. Call on the thread.
     Status offer(RevisionText text);
 
-    /// Whether the store or a peer has answered, so that the intent in force is a real one.
+    /// Whether an intent was received from the store or a peer since the start.
     bool ready() const; ///< Any thread.
     uint64_t revision() const; ///< Any thread.
-    /// The text in force. On the thread.
+    /// The revision in force. Call on the thread.
     const RevisionText &present() const;
-    /// Asks the VMs of this data centre; blocks the fiber, at most for the query timeout.
+    /// Asks the VMs of this data centre that are not known to have applied @p revision. Blocks the
+    /// fiber, at most for the query timeout.
     RevisionSpread spread(uint64_t revision);
 
 private:
--- a/peers/revision_history.cpp
+++ b/peers/revision_history.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr size_t KeptSteps = 64;
-constexpr size_t KeptBytes = 256 * 1024;
+constexpr size_t MaxSteps = 64;
+constexpr size_t MaxPatchBytes = 256 * 1024;
 
 size_t bytesOf(const std::deque<RevisionStep> &steps)
 {
@@ -38,7 +38,7 @@
         m_steps.push_back(std::move(*step));
     else
         m_steps.clear();
-    while (m_steps.size() > KeptSteps || bytesOf(m_steps) > KeptBytes)
+    while (m_steps.size() > MaxSteps || bytesOf(m_steps) > MaxPatchBytes)
         m_steps.pop_front();
     m_present = std::move(text);
     return true;
@@ -57,20 +57,21 @@
     return std::vector<RevisionStep>{ std::move(*whole) };
 }
 
-Result<RevisionText> RevisionHistory::follow(const std::vector<RevisionStep> &steps) const
+Result<RevisionText> RevisionHistory::applySteps(const std::vector<RevisionStep> &steps) const
 {
     RevisionText reached = m_present;
     for (const RevisionStep &step : steps) {
         if (step.m_from != 0 && step.m_from != reached.m_revision)
-            return makeError(ErrorCode::ProtocolError,
-                             fmt::format("a step from revision {} at revision {}", step.m_from,
-                                         reached.m_revision));
+            return makeError(
+                ErrorCode::ProtocolError,
+                fmt::format("step starts at revision {}, but the text is at revision {}",
+                            step.m_from, reached.m_revision));
         const std::string_view base = step.m_from == 0 ? std::string_view() : reached.m_text;
         Result<std::string> text = applyPatch(base, step.m_patch);
         if (!text)
             return tl::unexpected(text.error());
         if (stableHash(*text) != step.m_hash)
-            return makeError(ErrorCode::ProtocolError, "the text does not match its hash");
+            return makeError(ErrorCode::ProtocolError, "patched text does not match its hash");
         reached = RevisionText{ step.m_to, std::move(*text) };
     }
     return reached;
--- a/peers/revision_history.h
+++ b/peers/revision_history.h
@@ -1,4 +1,4 @@
-/// The revision in force and the way to it from recent ones. Pure.
+/// The revision in force and the patches that lead to it from recent ones. Does no I/O.
 #pragma once
 
 #include <deque>
@@ -11,15 +11,15 @@
 
 /// The whole declared intent at one revision; its text is opaque here.
 struct RevisionText {
-    uint64_t m_revision = 0; ///< 0: nothing was ever declared.
+    uint64_t m_revision = 0; ///< 0 if no intent was ever declared.
     std::string m_text;
 };
 
-/// Leads from the text of one revision to that of a later one; from 0: the whole text.
+/// Patch from the text of one revision to that of a later one; from 0, it holds the whole text.
 struct RevisionStep {
     uint64_t m_from = 0;
     uint64_t m_to = 0;
-    uint64_t m_hash = 0; ///< Of the text of m_to.
+    uint64_t m_hash = 0; ///< Hash of the text at m_to.
     std::string m_patch;
 
     MSGPACK_DEFINE(m_from, m_to, m_hash, m_patch)
@@ -29,16 +29,18 @@
 {
 public:
     const RevisionText &present() const { return m_present; }
-    /// Replaces the present text by a higher revision; a lower one is not taken.
+    /// Replaces the current text by a higher revision. False if the revision is not higher.
     bool advance(RevisionText text);
-    /// The steps from @p revision to the present; one whole text if the way is not known.
+    /// The steps from @p revision to the current one; a single step with the whole text if those
+    /// from @p revision are not kept.
     Result<std::vector<RevisionStep>> stepsFrom(uint64_t revision) const;
-    /// The text at which @p steps end, starting from the present one.
-    Result<RevisionText> follow(const std::vector<RevisionStep> &steps) const;
+    /// Applies @p steps to the current text and returns the result; the history is unchanged.
+    /// ProtocolError if a step does not fit or a hash does not match.
+    Result<RevisionText> applySteps(const std::vector<RevisionStep> &steps) const;
 
 private:
     RevisionText m_present;
-    std::deque<RevisionStep> m_steps; ///< Each starts where the one before ends.
+    std::deque<RevisionStep> m_steps; ///< Contiguous: each starts at the end of the previous one.
 };
 
 } // namespace stackquay
--- a/tests/peers/intent_relay_test.cpp
+++ b/tests/peers/intent_relay_test.cpp
@@ -11,7 +11,7 @@
 namespace stackquay {
 namespace {
 
-/// Stands in for the platform's store: one text, watched by fibers of any thread.
+/// Fake of the platform's store: one text, watched by fibers of any thread.
 class FakeStore
 {
 public:
@@ -81,7 +81,7 @@
         self.m_id = VmId(id);
         self.m_incarnation = 1;
         self.m_dataCentre = DataCentreId("dc");
-        // The relay registers its calls with the server, which has to listen before others know it.
+        // The relay registers its handlers with the server, which must listen before peers use it.
         m_peer = reservePort();
         self.m_peer = m_peer;
         MembershipOptions options;
@@ -144,7 +144,7 @@
     std::vector<uint64_t> m_applied;
 
 private:
-    /// A free port; peers' ports have to be known before the server listens.
+    /// A free port; a peer's port has to be known before its server listens.
     static Address reservePort()
     {
         boost::asio::io_context context;
@@ -155,7 +155,7 @@
     static IntentRelayOptions relayOptions()
     {
         IntentRelayOptions options;
-        options.m_rolePeriod = Millis(50);
+        options.m_roleCheckInterval = Millis(50);
         return options;
     }
 
--- a/tests/peers/revision_history_test.cpp
+++ b/tests/peers/revision_history_test.cpp
@@ -43,14 +43,14 @@
     EXPECT_EQ(unpackText("{}").value(), "{}");
 }
 
-TEST(RevisionHistoryTest, GoesOnlyUpAndLeadsOthersAlong)
+TEST(RevisionHistoryTest, AdvancesOnlyUpwardsAndProvidesStepsToOthers)
 {
     RevisionHistory leader;
     RevisionHistory follower;
     ASSERT_TRUE(leader.advance({ 3, largeText(100, 0, 1) }));
     const auto whole = leader.stepsFrom(0);
     ASSERT_TRUE(whole);
-    ASSERT_TRUE(follower.advance(follower.follow(*whole).value()));
+    ASSERT_TRUE(follower.advance(follower.applySteps(*whole).value()));
     for (uint64_t revision = 4; revision < 8; ++revision)
         ASSERT_TRUE(leader.advance({ revision, largeText(100, 50, int(revision)) }));
     EXPECT_FALSE(leader.advance({ 6, "lower" }));
@@ -59,18 +59,18 @@
     const auto steps = leader.stepsFrom(3);
     ASSERT_TRUE(steps);
     EXPECT_EQ(steps->size(), 4u);
-    const auto reached = follower.follow(*steps);
+    const auto reached = follower.applySteps(*steps);
     ASSERT_TRUE(reached);
     EXPECT_EQ(reached->m_revision, 7u);
     EXPECT_EQ(reached->m_text, leader.present().m_text);
 
-    EXPECT_EQ(leader.stepsFrom(2)->at(0).m_from, 0u) << "no way known: the whole text";
+    EXPECT_EQ(leader.stepsFrom(2)->at(0).m_from, 0u) << "no steps kept: the whole text";
     RevisionHistory other;
     other.advance({ 5, "something else" });
-    EXPECT_FALSE(other.follow(*steps)) << "steps from another revision";
+    EXPECT_FALSE(other.applySteps(*steps)) << "steps from another revision";
     auto damaged = *steps;
     damaged.back().m_hash ^= 1;
-    EXPECT_FALSE(follower.follow(damaged));
+    EXPECT_FALSE(follower.applySteps(damaged));
 }
 
 } // namespace
