--- a/peers/member.h
+++ b/peers/member.h
@@ -1,4 +1,4 @@
-/// What the VMs of a data centre know about each other.
+/// State that the VMs of a data centre exchange about each other.
 #pragma once
 
 #include <memory>
@@ -8,11 +8,11 @@
 
 namespace stackquay {
 
-/// In rising order: of two reports about the same process the higher one wins.
+/// Ordered by precedence: of two reports with equal incarnation and refutation the higher wins.
 enum class VmState : uint8_t {
     Live = 0,
-    Suspect = 1, ///< Does not answer, and may still refute it. Counts as serving.
-    Leaving = 2, ///< Serves what it has, and takes over nothing new.
+    Suspect = 1, ///< Does not answer probes, but may still refute that. Counts as serving.
+    Leaving = 2, ///< Draining: finishes its requests and takes no new roles.
     Dead = 3,
 };
 
@@ -20,24 +20,24 @@
 
 struct VmInfo {
     VmId m_id;
-    /// Names one process: its start, in milliseconds of the wall clock. A restarted VM has a higher
-    /// one. Fixed while the process lives.
+    /// Identifies one process: its start time in wall clock milliseconds. Higher after a restart,
+    /// and normally fixed while the process runs.
     uint64_t m_incarnation = 0;
-    /// Raised by the VM itself to refute a suspicion.
+    /// Counter that the VM itself raises to refute a suspicion.
     uint32_t m_refutation = 0;
     DataCentreId m_dataCentre;
-    Address m_udp; ///< Probes.
-    Address m_peer; ///< Calls between daemons.
-    Address m_http; ///< Callers and operators.
+    Address m_udp; ///< Membership datagrams.
+    Address m_peer; ///< RPC between daemons.
+    Address m_http; ///< Clients and operators.
     VmState m_state = VmState::Live;
-    uint64_t m_intentRevision = 0; ///< In force there, as last heard from the VM itself.
+    uint64_t m_intentRevision = 0; ///< Revision in force there, as last reported by the VM itself.
 
     bool operator==(const VmInfo &) const = default;
     MSGPACK_DEFINE(m_id, m_incarnation, m_refutation, m_dataCentre, m_udp, m_peer, m_http, m_state,
                    m_intentRevision)
 };
 
-/// Whether the VM may hold a role: it is live, or not yet known to be dead.
+/// Whether the VM may hold a role: it is live or suspect, so neither leaving nor dead.
 inline bool mayHoldRole(const VmInfo &vm)
 {
     return vm.m_state == VmState::Live || vm.m_state == VmState::Suspect;
@@ -48,26 +48,27 @@
     Unhealthy = 1,
 };
 
-/// A fact about an endpoint that every VM has to learn within seconds.
+/// Report about an endpoint that has to reach every VM within seconds.
 struct EndpointNotice {
     EndpointId m_endpoint;
     NoticeKind m_kind = NoticeKind::Leaving;
-    bool m_active = true; ///< False takes the notice back.
-    /// The highest version of a kind wins; milliseconds of the wall clock will do.
+    bool m_active = true; ///< False withdraws the notice.
+    /// The highest version of a kind wins, for example the wall clock in milliseconds.
     uint64_t m_version = 0;
 
     bool operator==(const EndpointNotice &) const = default;
     MSGPACK_DEFINE(m_endpoint, m_kind, m_active, m_version)
 };
 
-/// An immutable picture of the data centre.
+/// Immutable snapshot of the data centre's members.
 struct MemberList {
     uint64_t m_version = 0; ///< Grows with every change.
     VmInfo m_self;
-    std::vector<VmInfo> m_vms; ///< All that are not dead, with this one, sorted by id.
+    std::vector<VmInfo> m_vms; ///< All VMs that are not dead, including this one, sorted by id.
     std::vector<EndpointNotice> m_notices;
     uint64_t m_highestRevision = 0; ///< Highest intent revision in force on any VM.
 
+    /// Null if @p id is not in m_vms.
     const VmInfo *find(const VmId &id) const;
     /// VMs that may hold a role.
     std::vector<VmInfo> roleHolders() const;
--- a/peers/member_table.cpp
+++ b/peers/member_table.cpp
@@ -65,7 +65,7 @@
 
 bool MemberTable::adopt(const VmInfo &report, TimePoint now, Duration suspicion)
 {
-    // A death of someone never met is no news, and spreading it could go on for ever.
+    // The death of an unknown VM is ignored: otherwise VMs could spread it to each other for ever.
     if (report.m_state == VmState::Dead && !m_members.contains(report.m_id))
         return false;
     Member member;
@@ -120,7 +120,7 @@
     const auto held = m_notices.find(key);
     if (held != m_notices.end() && !isNewerNotice(notice, held->second.m_notice))
         return false;
-    m_notices.insert_or_assign(key, HeldNotice{ notice, now });
+    m_notices.insert_or_assign(key, StoredNotice{ notice, now });
     ++m_version;
     return true;
 }
@@ -185,7 +185,7 @@
     });
     const size_t before = m_notices.size();
     std::erase_if(m_notices,
-                  [&](const auto &entry) { return now - entry.second.m_learned > notices; });
+                  [&](const auto &entry) { return now - entry.second.m_receivedAt > notices; });
     if (m_notices.size() != before)
         ++m_version;
 }
--- a/peers/member_table.h
+++ b/peers/member_table.h
@@ -1,4 +1,4 @@
-/// The members of a data centre and the rules by which reports about them are merged. Pure.
+/// The members of a data centre and the rules by which reports about them are merged. Does no I/O.
 #pragma once
 
 #include <map>
@@ -10,16 +10,16 @@
 
 struct Member {
     VmInfo m_info;
-    bool m_leaving = false; ///< Sticks to the incarnation, also through a false death.
-    std::optional<TimePoint> m_suspectUntil; ///< Dead then, unless it refutes.
+    bool m_leaving = false; ///< Kept for the incarnation, even if it is falsely declared dead.
+    std::optional<TimePoint> m_suspectUntil; ///< Declared dead at this time unless it refutes.
     TimePoint m_deadSince{};
 };
 
 using NoticeKey = std::pair<EndpointId, NoticeKind>;
 
-struct HeldNotice {
+struct StoredNotice {
     EndpointNotice m_notice;
-    TimePoint m_learned{};
+    TimePoint m_receivedAt{};
 };
 
 class MemberTable
@@ -27,28 +27,34 @@
 public:
     explicit MemberTable(VmInfo self);
 
-    /// Merges a report. True if it changed what is known, so that it is worth passing on.
+    /// Merges a report. True if it changed the table and so should be passed on. @p suspicion is
+    /// the time that a suspect has to refute.
     bool merge(const VmInfo &report, TimePoint now, Duration suspicion);
     bool merge(const EndpointNotice &notice, TimePoint now);
-    /// Takes the sender's own word for its revision; never lower for one incarnation.
+    /// Sets the revision that a VM reported for itself. False if the incarnation is another or the
+    /// revision is not higher.
     bool setRevision(const VmId &id, uint64_t incarnation, uint64_t revision);
 
+    /// Marks a VM as suspect until @p until. True if its state changed from live to suspect.
     bool suspect(const VmId &id, TimePoint until);
     bool declareDead(const VmId &id, TimePoint now);
     bool markLeaving(const VmId &id);
-    /// Answers a report about this VM that calls it suspect or dead, or an older process of it.
+    /// Handles a report about this VM: refutes that it is suspect or dead, outranks a higher
+    /// incarnation, and adopts that it is leaving. True if its own entry changed.
     bool refute(const VmInfo &report);
-    /// Drops members dead, and notices learned, longer ago than the given times.
+    /// Drops members that died longer than @p dead ago, and notices received longer than @p notices
+    /// ago.
     void forget(TimePoint now, Duration dead, Duration notices);
 
     const VmInfo &self() const { return m_members.at(m_selfId).m_info; }
+    /// Null if @p id is unknown.
     const Member *find(const VmId &id) const;
     const std::map<VmId, Member> &members() const { return m_members; }
     std::map<VmId, Member> &members() { return m_members; }
-    const std::map<NoticeKey, HeldNotice> &notices() const { return m_notices; }
-    /// Members that are not dead, with this one.
+    const std::map<NoticeKey, StoredNotice> &notices() const { return m_notices; }
+    /// Number of members that are not dead, including this one.
     size_t aliveCount() const;
-    /// Equal on VMs that know the same living members.
+    /// Hash over the members that are not dead; equal on VMs that have the same members.
     uint64_t digest() const;
     /// Grows with every change.
     uint64_t version() const { return m_version; }
@@ -60,7 +66,7 @@
 
     VmId m_selfId;
     std::map<VmId, Member> m_members;
-    std::map<NoticeKey, HeldNotice> m_notices;
+    std::map<NoticeKey, StoredNotice> m_notices;
     uint64_t m_version = 1;
     mutable uint64_t m_digest = 0;
     mutable uint64_t m_digestVersion = 0;
--- a/peers/membership_message.h
+++ b/peers/membership_message.h
@@ -9,24 +9,24 @@
     Ping = 0,
     Ack = 1,
     ProbeRequest = 2, ///< Asks the receiver to ping m_target for the sender.
-    SyncRequest = 3, ///< Asks for the members after m_cursor.
+    SyncRequest = 3, ///< Asks for a page of members whose ids follow m_cursor.
     SyncPage = 4,
 };
 
 struct MembershipMessage {
     MembershipKind m_kind = MembershipKind::Ping;
-    uint32_t m_group = 0; ///< Hash of the data centre; others' messages are dropped.
-    uint32_t m_sequence = 0; ///< Chosen by who asks; the answer repeats it.
+    uint32_t m_group = 0; ///< Hash of the data centre; messages with another one are dropped.
+    uint32_t m_sequence = 0; ///< Chosen by the requester; the reply repeats it.
     VmId m_sender;
     uint64_t m_incarnation = 0;
     uint32_t m_refutation = 0;
     VmState m_state = VmState::Live;
     uint64_t m_intentRevision = 0; ///< In force at the sender.
-    uint64_t m_digest = 0; ///< Of the sender's members; equal ones hold the same.
-    /// Ping and ProbeRequest: who is meant. Ack: who answered, if another than the sender.
+    uint64_t m_digest = 0; ///< Hash of the sender's members; equal if the members are.
+    /// Ping and ProbeRequest: the VM to probe. Ack: the VM that answered, if not the sender.
     VmId m_target;
-    Address m_targetUdp; ///< ProbeRequest: where it is.
-    /// SyncRequest: members after this id. SyncPage: the last id of the page, empty at the end.
+    Address m_targetUdp; ///< ProbeRequest: the target's UDP address.
+    /// SyncRequest: start after this id. SyncPage: last id of the page, empty on the last page.
     VmId m_cursor;
     std::vector<VmInfo> m_members;
     std::vector<EndpointNotice> m_notices;
@@ -36,7 +36,7 @@
                    m_notices)
 };
 
-/// Bound of an encoded message, so that no datagram is fragmented.
+/// Maximum size of an encoded message, so that no datagram is fragmented.
 constexpr size_t MaxDatagramBytes = 1200;
 
 struct OutgoingMessage {
--- a/peers/membership_state.cpp
+++ b/peers/membership_state.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr uint32_t TellingsPerDecade = 4;
-constexpr size_t PageBytes = 900; ///< Leaves room for the rest of the message.
+constexpr uint32_t TransmissionsPerDecade = 4;
+constexpr size_t PageBytes = 900; ///< Leaves space in the datagram for the other fields.
 constexpr size_t SmallGroup = 10;
 
 uint32_t groupOf(const DataCentreId &dataCentre)
@@ -23,8 +23,8 @@
     return !vm.m_id.empty() && vm.m_dataCentre == dataCentre && vm.m_state <= VmState::Dead;
 }
 
-/// A whole list may be old, so that the deaths in it count as suspicions.
-VmInfo milder(VmInfo report)
+/// A pulled list may be outdated, so the deaths in it are treated as suspicions.
+VmInfo deathAsSuspicion(VmInfo report)
 {
     if (report.m_state == VmState::Dead)
         report.m_state = VmState::Suspect;
@@ -86,7 +86,7 @@
     outbox.push_back({ to, std::move(message) });
 }
 
-void MembershipState::accuse(MembershipMessage &message, const VmId &id) const
+void MembershipState::appendAccusation(MembershipMessage &message, const VmId &id) const
 {
     const Member *member = m_table.find(id);
     if (!member)
@@ -102,18 +102,18 @@
     message.m_sequence = ++m_lastSequence;
     message.m_target = target.m_id;
     m_probes[message.m_sequence] = Probe{ target.m_id, now, false };
-    accuse(message, target.m_id);
-    m_rumors.fill(message, m_table, m_options.m_piggybackBytes, tellingLimit());
+    appendAccusation(message, target.m_id);
+    m_rumors.fill(message, m_table, m_options.m_piggybackBytes, transmissionLimit());
     send(outbox, target.m_udp, std::move(message));
 }
 
 void MembershipState::push(Outbox &outbox, TimePoint now)
 {
     if (now < m_nextPush) {
-        m_pushWanted = true;
+        m_pushPending = true;
         return;
     }
-    m_pushWanted = false;
+    m_pushPending = false;
     m_nextPush = now + m_options.m_pushPeriod;
     for (const VmInfo &target : randomOthers(m_options.m_pushFanout, m_table.self().m_id))
         ping(outbox, target, now);
@@ -124,12 +124,12 @@
 Outbox MembershipState::tick(TimePoint now)
 {
     Outbox outbox;
-    noticePause(now);
+    handlePause(now);
     m_lastTick = now;
     checkProbes(outbox, now);
     checkSuspects(now);
-    m_table.forget(now, m_options.m_forgetDead, m_options.m_forgetNotice);
-    if (m_pushWanted)
+    m_table.forget(now, m_options.m_deadRetention, m_options.m_noticeRetention);
+    if (m_pushPending)
         push(outbox, now);
     if (now >= m_nextProbe) {
         m_nextProbe = std::max(m_nextProbe + m_options.m_probePeriod, now);
@@ -138,13 +138,13 @@
     return outbox;
 }
 
-void MembershipState::noticePause(TimePoint now)
+void MembershipState::handlePause(TimePoint now)
 {
     const Duration gap = now - m_lastTick;
     if (gap <= m_options.m_pause)
         return;
     m_probes.clear();
-    m_relays.clear();
+    m_forwardedPings.clear();
     m_nextProbe = now;
     for (auto &[id, member] : m_table.members()) {
         if (member.m_suspectUntil)
@@ -154,7 +154,7 @@
 
 void MembershipState::checkProbes(Outbox &outbox, TimePoint now)
 {
-    std::erase_if(m_relays, [&](const auto &entry) {
+    std::erase_if(m_forwardedPings, [&](const auto &entry) {
         return now - entry.second.m_sent > m_options.m_indirectTimeout;
     });
     for (auto probe = m_probes.begin(); probe != m_probes.end();) {
@@ -162,7 +162,7 @@
         const VmId target = probe->second.m_target;
         if (age >= m_options.m_indirectTimeout) {
             probe = m_probes.erase(probe);
-            giveLastChance(outbox, target, now);
+            suspectAndPing(outbox, target, now);
             continue;
         }
         if (age >= m_options.m_probeTimeout && !probe->second.m_indirect) {
@@ -182,15 +182,15 @@
     }
 }
 
-void MembershipState::giveLastChance(Outbox &outbox, const VmId &id, TimePoint now)
+void MembershipState::suspectAndPing(Outbox &outbox, const VmId &id, TimePoint now)
 {
     if (!m_table.suspect(id, now + suspicion()))
         return;
-    learned(id, now);
+    recordChange(id, now);
     MembershipMessage message = newMessage(MembershipKind::Ping);
     message.m_sequence = ++m_lastSequence;
     message.m_target = id;
-    accuse(message, id);
+    appendAccusation(message, id);
     send(outbox, m_table.find(id)->m_info.m_udp, std::move(message));
 }
 
@@ -203,7 +203,7 @@
     }
     for (const VmId &id : dead) {
         m_table.declareDead(id, now);
-        learned(id, now);
+        recordChange(id, now);
     }
 }
 
@@ -211,7 +211,7 @@
 {
     ++m_probeCount;
     const bool alone = m_table.aliveCount() == 1;
-    if ((alone || m_probeCount % m_options.m_reconnectEvery == 0) && reconnect(outbox))
+    if ((alone || m_probeCount % m_options.m_probesPerReconnect == 0) && reconnect(outbox))
         return;
     const std::optional<VmId> target = nextTarget();
     if (target)
@@ -275,7 +275,7 @@
     message.m_sequence = ++m_lastSequence;
     for (const auto &[id, member] : m_table.members()) {
         if (member.m_info.m_udp == address)
-            accuse(message, id);
+            appendAccusation(message, id);
     }
     message.m_members.push_back(m_table.self());
     send(outbox, address, std::move(message));
@@ -291,30 +291,30 @@
     const bool own = message.m_sender == m_table.self().m_id;
     if (message.m_group != m_group || message.m_state > VmState::Dead || own)
         return outbox;
-    takeNews(message, now);
-    takeSender(from, message, now);
+    mergeReports(message, now);
+    mergeSender(from, message, now);
     switch (message.m_kind) {
     case MembershipKind::Ping:
-        answerPing(outbox, from, message);
+        sendAck(outbox, from, message);
         break;
     case MembershipKind::Ack:
-        takeAck(outbox, message);
+        handleAck(outbox, message);
         break;
     case MembershipKind::ProbeRequest:
-        probeFor(outbox, from, message, now);
+        forwardPing(outbox, from, message, now);
         break;
     case MembershipKind::SyncRequest:
-        sendPage(outbox, from, message);
+        sendSyncPage(outbox, from, message);
         break;
     case MembershipKind::SyncPage:
-        takePage(outbox, from, message);
+        handleSyncPage(outbox, from, message);
         break;
     }
     pullIfDifferent(outbox, from, message, now);
     return outbox;
 }
 
-void MembershipState::takeNews(const MembershipMessage &message, TimePoint now)
+void MembershipState::mergeReports(const MembershipMessage &message, TimePoint now)
 {
     const DataCentreId &dataCentre = m_table.self().m_dataCentre;
     const bool pulled = message.m_kind == MembershipKind::SyncPage;
@@ -323,23 +323,23 @@
             pulled && report.m_state == VmState::Dead && !m_table.find(report.m_id);
         if (!isValid(report, dataCentre) || oldDeath)
             continue;
-        if (!m_table.merge(pulled ? milder(report) : report, now, suspicion()))
+        if (!m_table.merge(pulled ? deathAsSuspicion(report) : report, now, suspicion()))
             continue;
         m_lastChange = now;
-        // A list that was pulled is no news to others: whoever misses it pulls it too.
+        // Entries of a pulled list are not passed on: other VMs that lack them pull them too.
         if (!pulled || report.m_state == VmState::Suspect || report.m_id == m_table.self().m_id)
-            learned(report.m_id, now);
+            recordChange(report.m_id, now);
     }
     for (const EndpointNotice &notice : message.m_notices) {
         if (!m_table.merge(notice, now))
             continue;
         m_rumors.add(NoticeKey{ notice.m_endpoint, notice.m_kind });
-        m_pushWanted = true;
+        m_pushPending = true;
     }
 }
 
-void MembershipState::takeSender(const Address &from, const MembershipMessage &message,
-                                 TimePoint now)
+void MembershipState::mergeSender(const Address &from, const MembershipMessage &message,
+                                  TimePoint now)
 {
     const Member *sender = m_table.find(message.m_sender);
     if (sender && sender->m_info.m_incarnation == message.m_incarnation) {
@@ -347,10 +347,10 @@
         report.m_refutation = message.m_refutation;
         report.m_state = message.m_state;
         if (m_table.merge(report, now, suspicion()))
-            learned(report.m_id, now);
+            recordChange(report.m_id, now);
     }
     m_table.setRevision(message.m_sender, message.m_incarnation, message.m_intentRevision);
-    // Whoever had this address before has been replaced.
+    // Another VM with the same address has been replaced by the sender.
     std::vector<VmId> replaced;
     for (const auto &[id, member] : m_table.members()) {
         const bool same = member.m_info.m_udp == from && id != message.m_sender;
@@ -359,20 +359,20 @@
     }
     for (const VmId &id : replaced) {
         if (m_table.declareDead(id, now))
-            learned(id, now);
+            recordChange(id, now);
     }
 }
 
-void MembershipState::takeAck(Outbox &outbox, const MembershipMessage &message)
+void MembershipState::handleAck(Outbox &outbox, const MembershipMessage &message)
 {
     const VmId &answered = message.m_target.empty() ? message.m_sender : message.m_target;
-    const auto relay = m_relays.find(message.m_sequence);
-    if (relay != m_relays.end()) {
+    const auto forwarded = m_forwardedPings.find(message.m_sequence);
+    if (forwarded != m_forwardedPings.end()) {
         MembershipMessage ack = newMessage(MembershipKind::Ack);
-        ack.m_sequence = relay->second.m_sequence;
+        ack.m_sequence = forwarded->second.m_sequence;
         ack.m_target = answered;
-        send(outbox, relay->second.m_asker, std::move(ack));
-        m_relays.erase(relay);
+        send(outbox, forwarded->second.m_requester, std::move(ack));
+        m_forwardedPings.erase(forwarded);
         return;
     }
     const auto probe = m_probes.find(message.m_sequence);
@@ -384,23 +384,22 @@
     m_probes.erase(probe);
 }
 
-void MembershipState::answerPing(Outbox &outbox, const Address &from,
-                                 const MembershipMessage &message)
+void MembershipState::sendAck(Outbox &outbox, const Address &from, const MembershipMessage &message)
 {
     MembershipMessage ack = newMessage(MembershipKind::Ack);
     ack.m_sequence = message.m_sequence;
-    accuse(ack, message.m_sender);
-    m_rumors.fill(ack, m_table, m_options.m_piggybackBytes, tellingLimit());
+    appendAccusation(ack, message.m_sender);
+    m_rumors.fill(ack, m_table, m_options.m_piggybackBytes, transmissionLimit());
     send(outbox, from, std::move(ack));
 }
 
-void MembershipState::probeFor(Outbox &outbox, const Address &from,
-                               const MembershipMessage &message, TimePoint now)
+void MembershipState::forwardPing(Outbox &outbox, const Address &from,
+                                  const MembershipMessage &message, TimePoint now)
 {
     MembershipMessage ping = newMessage(MembershipKind::Ping);
     ping.m_sequence = ++m_lastSequence;
     ping.m_target = message.m_target;
-    m_relays[ping.m_sequence] = Relay{ from, message.m_sequence, now };
+    m_forwardedPings[ping.m_sequence] = ForwardedPing{ from, message.m_sequence, now };
     send(outbox, message.m_targetUdp, std::move(ping));
 }
 
@@ -411,14 +410,14 @@
 {
     if (message.m_digest == m_table.digest() || now < m_nextSync)
         return;
-    const bool stranger = !m_table.find(message.m_sender);
-    if (!stranger && now - m_lastChange < m_options.m_settle)
+    const bool unknownSender = !m_table.find(message.m_sender);
+    if (!unknownSender && now - m_lastChange < m_options.m_settleTime)
         return;
     m_nextSync = now + m_options.m_syncPeriod;
-    requestPage(outbox, from, VmId());
+    requestSyncPage(outbox, from, VmId());
 }
 
-void MembershipState::requestPage(Outbox &outbox, const Address &from, const VmId &cursor)
+void MembershipState::requestSyncPage(Outbox &outbox, const Address &from, const VmId &cursor)
 {
     MembershipMessage request = newMessage(MembershipKind::SyncRequest);
     request.m_sequence = ++m_lastSequence;
@@ -427,8 +426,8 @@
     send(outbox, from, std::move(request));
 }
 
-void MembershipState::sendPage(Outbox &outbox, const Address &from,
-                               const MembershipMessage &message)
+void MembershipState::sendSyncPage(Outbox &outbox, const Address &from,
+                                   const MembershipMessage &message)
 {
     MembershipMessage page = newMessage(MembershipKind::SyncPage);
     page.m_sequence = message.m_sequence;
@@ -453,24 +452,24 @@
     send(outbox, from, std::move(page));
 }
 
-void MembershipState::takePage(Outbox &outbox, const Address &from,
-                               const MembershipMessage &message)
+void MembershipState::handleSyncPage(Outbox &outbox, const Address &from,
+                                     const MembershipMessage &message)
 {
     if (message.m_sequence != m_syncSequence)
         return;
     m_syncSequence = 0;
     if (!message.m_cursor.empty())
-        requestPage(outbox, from, message.m_cursor);
+        requestSyncPage(outbox, from, message.m_cursor);
 }
 
-// What the owner says.
+// Calls by the owner.
 
 Outbox MembershipState::markLeaving(const VmId &id, TimePoint now)
 {
     Outbox outbox;
     if (!m_table.markLeaving(id))
         return outbox;
-    learned(id, now);
+    recordChange(id, now);
     push(outbox, now);
     return outbox;
 }
@@ -494,7 +493,7 @@
     return outbox;
 }
 
-void MembershipState::learned(const VmId &id, TimePoint now)
+void MembershipState::recordChange(const VmId &id, TimePoint now)
 {
     m_lastChange = now;
     m_rumors.add(id);
@@ -507,10 +506,10 @@
     return Millis(static_cast<int64_t>(millis));
 }
 
-uint32_t MembershipState::tellingLimit() const
+uint32_t MembershipState::transmissionLimit() const
 {
     const double decades = std::ceil(std::log10(m_table.aliveCount() + 1.0));
-    return TellingsPerDecade * static_cast<uint32_t>(decades);
+    return TransmissionsPerDecade * static_cast<uint32_t>(decades);
 }
 
 } // namespace stackquay
--- a/peers/membership_state.h
+++ b/peers/membership_state.h
@@ -1,9 +1,9 @@
-/// SWIM-like membership as a pure state machine: messages and time in, messages out.
+/// SWIM-like membership as a state machine without I/O: messages and time in, messages out.
 ///
-/// Each VM probes a few others a second in a shuffled round, asks others to probe for it before it
-/// suspects, and lets the suspect refute. Changes ride on the probes for a bounded number of times;
-/// VMs whose digests stay different pull each other's whole list in pages. The cost of a VM does
-/// not depend on their number.
+/// Each VM probes a few others a second in shuffled order. If a probe fails, it asks other VMs to
+/// probe indirectly before it suspects the target, and the suspect may refute. Changes are
+/// piggybacked on probes a bounded number of times; VMs whose digests stay different pull each
+/// other's whole list in pages. The cost per VM does not depend on the number of VMs.
 #pragma once
 
 #include "peers/member_table.h"
@@ -14,21 +14,24 @@
 
 struct MembershipOptions {
     Millis m_probePeriod{ 333 };
-    Millis m_probeTimeout{ 400 }; ///< Then others are asked.
-    Millis m_indirectTimeout{ 1'200 }; ///< Since the first probe; then the target is suspect.
+    Millis m_probeTimeout{ 400 }; ///< After this, other VMs probe indirectly.
+    /// After this time since the first probe, the target is suspect.
+    Millis m_indirectTimeout{ 1'200 };
     size_t m_indirectProbes = 2;
     /// Time to refute with ten VMs or fewer; grows with the logarithm of their number.
     Millis m_suspicion{ 2'000 };
-    Seconds m_forgetDead{ 7'200 };
-    Seconds m_forgetNotice{ 600 };
-    Millis m_syncPeriod{ 15'000 }; ///< At most one pull of the whole list in this time.
-    Millis m_settle{ 3'000 }; ///< Differences younger than this are left to the probes.
-    /// Longer without tick(): this VM was paused, and blames nobody for it.
+    Seconds m_deadRetention{ 7'200 };
+    Seconds m_noticeRetention{ 600 };
+    Millis m_syncPeriod{ 15'000 }; ///< Minimum interval between pulls of the whole list.
+    Millis m_settleTime{ 3'000 }; ///< No pull while the last change is younger than this.
+    /// If tick() was not called for longer, this VM was paused: open probes are discarded and
+    /// suspicions extended.
     Millis m_pause{ 1'000 };
-    Millis m_pushPeriod{ 500 }; ///< At most one push of news outside the round in this time.
+    Millis m_pushPeriod{ 500 }; ///< Minimum interval between pushes of changes outside the round.
     size_t m_pushFanout = 2;
-    size_t m_reconnectEvery = 10; ///< Each such probe goes to a seed or a dead VM.
-    /// Bounds the control bytes while many VMs change at once: twelve messages a second.
+    size_t m_probesPerReconnect = 10; ///< Every n-th probe goes to a seed or a dead VM.
+    /// Bounds the control traffic while many VMs change at once; a VM sends twelve messages a
+    /// second.
     size_t m_piggybackBytes = 170;
 };
 
@@ -37,21 +40,21 @@
 public:
     MembershipState(VmInfo self, MembershipOptions options, uint64_t seed, TimePoint now);
 
-    /// To be called several times a probe period.
+    /// Advances timers; returns the messages to send. Call several times per probe period.
     Outbox tick(TimePoint now);
-    /// @p from is the sender's UDP address as the network gave it.
+    /// Handles a message; returns the messages to send. @p from is the datagram's source address.
     Outbox receive(const Address &from, const MembershipMessage &message, TimePoint now);
 
     /// UDP addresses of VMs that may be members: from the platform's list and the settings.
     void setSeeds(std::vector<Address> seeds) { m_seeds = std::move(seeds); }
-    /// The platform's list, or the VM itself, says that it leaves. Unknown VMs are ignored.
+    /// Marks a VM as leaving, as reported by the platform's list or by itself. Ignores unknown VMs.
     Outbox markLeaving(const VmId &id, TimePoint now);
-    /// The revision in force here; lower ones are ignored.
+    /// Sets the revision in force on this VM; lower ones are ignored.
     Outbox setIntentRevision(uint64_t revision, TimePoint now);
     Outbox addNotice(const EndpointNotice &notice, TimePoint now);
 
     const MemberTable &table() const { return m_table; }
-    /// What the messages of this data centre carry in m_group.
+    /// Value of m_group in the messages of this data centre.
     uint32_t group() const { return m_group; }
     MemberList list() const;
 
@@ -61,24 +64,24 @@
         TimePoint m_sent;
         bool m_indirect = false;
     };
-    /// A ping sent for another VM.
-    struct Relay {
-        Address m_asker;
+    /// A ping sent on behalf of another VM.
+    struct ForwardedPing {
+        Address m_requester;
         uint32_t m_sequence = 0;
         TimePoint m_sent;
     };
 
     MembershipMessage newMessage(MembershipKind kind) const;
     void send(Outbox &outbox, const Address &to, MembershipMessage message);
-    /// Appends what is known of @p id if it has to refute it.
-    void accuse(MembershipMessage &message, const VmId &id) const;
+    /// Appends the entry of @p id if it is suspect or dead, so that the VM can refute it.
+    void appendAccusation(MembershipMessage &message, const VmId &id) const;
     void ping(Outbox &outbox, const VmInfo &target, TimePoint now);
     void push(Outbox &outbox, TimePoint now);
 
-    void noticePause(TimePoint now);
+    void handlePause(TimePoint now);
     void checkProbes(Outbox &outbox, TimePoint now);
-    /// Suspects a VM, and tells it so that it may refute.
-    void giveLastChance(Outbox &outbox, const VmId &id, TimePoint now);
+    /// Marks a VM as suspect and pings it with that entry, so that it can refute.
+    void suspectAndPing(Outbox &outbox, const VmId &id, TimePoint now);
     void checkSuspects(TimePoint now);
     void probeNext(Outbox &outbox, TimePoint now);
     bool reconnect(Outbox &outbox);
@@ -86,21 +89,21 @@
     std::optional<VmId> nextTarget();
     std::vector<VmInfo> randomOthers(size_t count, const VmId &except);
 
-    void takeSender(const Address &from, const MembershipMessage &message, TimePoint now);
-    void takeNews(const MembershipMessage &message, TimePoint now);
-    void takeAck(Outbox &outbox, const MembershipMessage &message);
-    void answerPing(Outbox &outbox, const Address &from, const MembershipMessage &message);
-    void probeFor(Outbox &outbox, const Address &from, const MembershipMessage &message,
-                  TimePoint now);
-    void sendPage(Outbox &outbox, const Address &from, const MembershipMessage &message);
-    void takePage(Outbox &outbox, const Address &from, const MembershipMessage &message);
+    void mergeSender(const Address &from, const MembershipMessage &message, TimePoint now);
+    void mergeReports(const MembershipMessage &message, TimePoint now);
+    void handleAck(Outbox &outbox, const MembershipMessage &message);
+    void sendAck(Outbox &outbox, const Address &from, const MembershipMessage &message);
+    void forwardPing(Outbox &outbox, const Address &from, const MembershipMessage &message,
+                     TimePoint now);
+    void sendSyncPage(Outbox &outbox, const Address &from, const MembershipMessage &message);
+    void handleSyncPage(Outbox &outbox, const Address &from, const MembershipMessage &message);
     void pullIfDifferent(Outbox &outbox, const Address &from, const MembershipMessage &message,
                          TimePoint now);
-    void requestPage(Outbox &outbox, const Address &from, const VmId &cursor);
+    void requestSyncPage(Outbox &outbox, const Address &from, const VmId &cursor);
 
-    void learned(const VmId &id, TimePoint now);
+    void recordChange(const VmId &id, TimePoint now);
     Duration suspicion() const;
-    uint32_t tellingLimit() const;
+    uint32_t transmissionLimit() const;
 
     MembershipOptions m_options;
     MemberTable m_table;
@@ -108,18 +111,18 @@
     RandomEngine m_random;
     uint32_t m_group;
     std::vector<Address> m_seeds;
-    std::vector<VmId> m_round; ///< Targets left of this round, next one last.
+    std::vector<VmId> m_round; ///< Remaining probe targets of this round, next one last.
     std::map<uint32_t, Probe> m_probes;
-    std::map<uint32_t, Relay> m_relays;
+    std::map<uint32_t, ForwardedPing> m_forwardedPings;
     uint32_t m_lastSequence = 0;
     size_t m_probeCount = 0;
     TimePoint m_lastTick;
     TimePoint m_nextProbe;
     TimePoint m_nextPush;
     TimePoint m_nextSync;
-    TimePoint m_lastChange; ///< Of the members.
-    bool m_pushWanted = false;
-    uint32_t m_syncSequence = 0; ///< Of the pull under way; 0 if none.
+    TimePoint m_lastChange; ///< Last change of the members.
+    bool m_pushPending = false;
+    uint32_t m_syncSequence = 0; ///< Sequence number of the pull in progress; 0 if none.
 };
 
 } // namespace stackquay
--- a/peers/rendezvous.h
+++ b/peers/rendezvous.h
@@ -1,7 +1,7 @@
-/// Who holds a role: rendezvous hashing of a key over the VMs of a data centre.
+/// Assigns roles to VMs by rendezvous hashing of a key over the VMs of a data centre.
 ///
-/// Two VMs with different views may name different holders. Roles are advice: whatever must not
-/// happen twice is guarded by the platform's store or by the endpoint itself.
+/// VMs with different member lists may compute different holders, so roles are advisory: actions
+/// that must not happen twice are guarded by the platform's store or by the endpoint itself.
 #pragma once
 
 #include "peers/member.h"
--- a/peers/rumors.cpp
+++ b/peers/rumors.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-/// Takes the least-told keys whose values fit, counts the telling, and drops what was told enough.
+/// Takes the least often sent keys whose values fit, counts them as sent, and drops those that
+/// reached the limit.
 template<typename Key, typename Find, typename Take>
-void tell(std::map<Key, uint32_t> &rumors, size_t &budget, uint32_t limit, const Find &find,
-          const Take &take)
+void takeLeastSent(std::map<Key, uint32_t> &rumors, size_t &budget, uint32_t limit,
+                   const Find &find, const Take &take)
 {
     std::vector<std::pair<uint32_t, Key>> order;
-    for (const auto &[key, told] : rumors)
-        order.emplace_back(told, key);
+    for (const auto &[key, sentCount] : rumors)
+        order.emplace_back(sentCount, key);
     std::sort(order.begin(), order.end());
-    for (const auto &[told, key] : order) {
+    for (const auto &[sentCount, key] : order) {
         const auto *value = find(key);
         if (!value) {
             rumors.erase(key);
@@ -46,9 +47,10 @@
         const Member *member = table.find(id);
         return member ? &member->m_info : nullptr;
     };
-    tell(m_notices, budget, limit, findNotice,
-         [&](const EndpointNotice &notice) { message.m_notices.push_back(notice); });
-    tell(m_vms, budget, limit, findVm, [&](const VmInfo &vm) { message.m_members.push_back(vm); });
+    takeLeastSent(m_notices, budget, limit, findNotice,
+                  [&](const EndpointNotice &notice) { message.m_notices.push_back(notice); });
+    takeLeastSent(m_vms, budget, limit, findVm,
+                  [&](const VmInfo &vm) { message.m_members.push_back(vm); });
 }
 
 size_t encodedSize(const VmInfo &vm)
--- a/peers/rumors.h
+++ b/peers/rumors.h
@@ -1,4 +1,4 @@
-/// Changes that are worth passing on, each for a bounded number of times. Pure.
+/// Changes to pass on to other VMs, each a bounded number of times. Does no I/O.
 #pragma once
 
 #include <map>
@@ -11,18 +11,18 @@
 class Rumors
 {
 public:
-    /// A change starts anew, also if it is already under way.
+    /// Queues a change, and resets its count if it is already queued.
     void add(const VmId &vm) { m_vms[vm] = 0; }
     void add(const NoticeKey &notice) { m_notices[notice] = 0; }
 
-    /// Puts the least-told changes into @p message, as many as @p budget bytes allow. A change
-    /// goes after @p limit tellings.
+    /// Adds the least often sent changes to @p message, as many as fit into @p budget bytes. A
+    /// change is dropped after it was sent @p limit times.
     void fill(MembershipMessage &message, const MemberTable &table, size_t budget, uint32_t limit);
 
     bool empty() const { return m_vms.empty() && m_notices.empty(); }
 
 private:
-    std::map<VmId, uint32_t> m_vms; ///< Times told.
+    std::map<VmId, uint32_t> m_vms; ///< Number of times sent.
     std::map<NoticeKey, uint32_t> m_notices;
 };
 
--- a/tests/peers/fake_network.h
+++ b/tests/peers/fake_network.h
@@ -1,4 +1,4 @@
-/// Membership states joined by a network of queued messages; its time and chance are seeded.
+/// Membership states connected by a simulated network; its time and randomness are seeded.
 #pragma once
 
 #include <functional>
@@ -90,7 +90,7 @@
         }
     }
 
-    /// How the VM of @p observer sees @p id; none if it does not know it.
+    /// State of @p id as seen by the VM at @p observer; none if it does not know @p id.
     std::optional<VmState> seen(uint16_t observer, const std::string &id)
     {
         const Member *member = state(observer).table().find(VmId(id));
--- a/tests/peers/membership_state_test.cpp
+++ b/tests/peers/membership_state_test.cpp
@@ -29,7 +29,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, MembershipStateTest, testing::Range<uint64_t>(1, 9));
 
-TEST_P(MembershipStateTest, JoinsThroughSeedsAndFindsTheDead)
+TEST_P(MembershipStateTest, JoinsThroughSeedsAndDetectsDeadVms)
 {
     joinAll(20);
     m_network.node(7).m_running = false;
@@ -49,7 +49,7 @@
     uint64_t bytes = 0;
     for (const auto &[address, node] : m_network.m_nodes) {
         bytes += node.m_bytesOut;
-        // At most three probes a second and, on average, as many answers.
+        // At most three probes a second and, on average, the same number of acks.
         EXPECT_LE(node.m_messagesOut, 9 * Period);
     }
     EXPECT_LE(bytes / m_network.m_nodes.size() / Period, 1'000u);
@@ -75,7 +75,7 @@
     EXPECT_FALSE(blamed);
 }
 
-TEST_P(MembershipStateTest, OneWayLossBetweenTwoIsBridgedByOthers)
+TEST_P(MembershipStateTest, IndirectProbesCoverOneWayLossBetweenTwoVms)
 {
     joinAll(10);
     m_network.m_lost = [](const Address &from, const Address &to) {
@@ -90,7 +90,7 @@
     EXPECT_FALSE(suspected);
 }
 
-TEST_P(MembershipStateTest, VmThatCanOnlyReceiveIsFoundDead)
+TEST_P(MembershipStateTest, VmThatCannotSendIsDeclaredDead)
 {
     joinAll(10);
     m_network.m_lost = [](const Address &from, const Address &) {
@@ -103,7 +103,7 @@
     EXPECT_TRUE(m_network.runUntil(Seconds(60), [&] { return m_network.agree(); }));
 }
 
-TEST_P(MembershipStateTest, CutThroughTheMiddleHeals)
+TEST_P(MembershipStateTest, NetworkPartitionHeals)
 {
     constexpr uint16_t Count = 20;
     joinAll(Count);
@@ -127,7 +127,7 @@
     EXPECT_TRUE(m_network.runUntil(Seconds(60), [&] { return m_network.agree(); }));
 }
 
-TEST_P(MembershipStateTest, ReplacedVmAtTheSameAddressTakesThePlace)
+TEST_P(MembershipStateTest, NewVmAtTheSameAddressReplacesTheFormerOne)
 {
     joinAll(10);
     m_network.add(6, "vm-new", 9);
@@ -137,7 +137,7 @@
     EXPECT_NE(m_network.seen(0, old), VmState::Live);
 }
 
-TEST_P(MembershipStateTest, RestartedVmBeatsItsFormerProcess)
+TEST_P(MembershipStateTest, RestartedVmSupersedesItsFormerProcess)
 {
     joinAll(10);
     m_network.send(FakeNetwork::addressOf(6),
@@ -148,11 +148,11 @@
     EXPECT_TRUE(m_network.runUntil(Seconds(10), [&] { return m_network.agree(); }));
 }
 
-TEST_P(MembershipStateTest, LeavingBeatsLiveAndSurvivesAFalseDeath)
+TEST_P(MembershipStateTest, LeavingOverridesLiveAndSurvivesAFalseDeath)
 {
     joinAll(10);
     const std::string name = FakeNetwork::nameOf(8);
-    // Another VM learns it from the platform's list.
+    // Another VM is told by the platform's list that it is leaving.
     m_network.send(FakeNetwork::addressOf(1),
                    m_network.state(1).markLeaving(VmId(name), m_network.m_now));
     ASSERT_TRUE(
@@ -196,7 +196,7 @@
         }
         return true;
     }));
-    // A VM that applies a revision tells it on, as those that heard of it do here.
+    // A VM that applies a revision announces it to others, as the receivers do here.
     EXPECT_TRUE(m_network.runUntil(Seconds(3), [&] {
         bool all = true;
         for (uint16_t index = 0; index < Count; ++index) {
@@ -237,23 +237,23 @@
         return table.merge(vm, now, Seconds(1));
     };
     const auto state = [&] { return table.find(vm.m_id)->m_info.m_state; };
-    EXPECT_FALSE(merge(5, 0, VmState::Dead)) << "a death of someone never met";
+    EXPECT_FALSE(merge(5, 0, VmState::Dead)) << "death of an unknown VM";
     EXPECT_TRUE(merge(5, 0, VmState::Live));
     EXPECT_TRUE(merge(5, 0, VmState::Suspect));
-    EXPECT_FALSE(merge(5, 0, VmState::Live)) << "a suspicion is not taken back by an old report";
+    EXPECT_FALSE(merge(5, 0, VmState::Live)) << "an old report does not clear a suspicion";
     EXPECT_TRUE(merge(5, 1, VmState::Live));
     EXPECT_FALSE(merge(5, 0, VmState::Dead)) << "refuted already";
     EXPECT_EQ(state(), VmState::Live);
-    EXPECT_TRUE(merge(5, 0, VmState::Leaving)) << "an old leaving still counts";
+    EXPECT_TRUE(merge(5, 0, VmState::Leaving)) << "an old leaving report still counts";
     EXPECT_TRUE(merge(5, 2, VmState::Live));
     EXPECT_EQ(state(), VmState::Leaving);
     EXPECT_TRUE(merge(5, 2, VmState::Dead));
     EXPECT_TRUE(merge(6, 0, VmState::Live)) << "a new process";
     EXPECT_EQ(state(), VmState::Live);
-    EXPECT_FALSE(merge(5, 9, VmState::Dead)) << "of the former process";
+    EXPECT_FALSE(merge(5, 9, VmState::Dead)) << "report about the former process";
 }
 
-TEST(MemberTableRules, VmRefutesWhatIsSaidOfIt)
+TEST(MemberTableRules, VmRefutesReportsAboutItself)
 {
     const TimePoint now{ Seconds(1) };
     const VmInfo self{ VmId("a"), 5, 0, DataCentreId("dc"), {}, {}, {} };
@@ -269,7 +269,7 @@
     EXPECT_EQ(table.self().m_state, VmState::Live);
 }
 
-TEST(MemberTableRules, HigherNoticeWinsAndOldOnesGo)
+TEST(MemberTableRules, HigherNoticeVersionWinsAndOldNoticesExpire)
 {
     const TimePoint now{ Seconds(1) };
     MemberTable table(VmInfo{ VmId("a"), 5, 0, DataCentreId("dc"), {}, {}, {} });
