--- a/peers/membership_state.cpp
+++ b/peers/membership_state.cpp
@@ -141,7 +141,7 @@
 void MembershipState::handlePause(TimePoint now)
 {
     const Duration gap = now - m_lastTick;
-    if (gap <= m_options.m_pause)
+    if (gap <= m_options.m_pauseThreshold)
         return;
     m_probes.clear();
     m_forwardedPings.clear();
--- a/peers/membership_state.h
+++ b/peers/membership_state.h
@@ -26,7 +26,7 @@
     Millis m_settleTime{ 3'000 }; ///< No pull while the last change is younger than this.
     /// If tick() was not called for longer, this VM was paused: open probes are discarded and
     /// suspicions extended.
-    Millis m_pause{ 1'000 };
+    Millis m_pauseThreshold{ 1'000 };
     Millis m_pushPeriod{ 500 }; ///< Minimum interval between pushes of changes outside the round.
     size_t m_pushFanout = 2;
     size_t m_probesPerReconnect = 10; ///< Every n-th probe goes to a seed or a dead VM.
--- a/tests/peers/fake_network.h
+++ b/tests/peers/fake_network.h
@@ -24,7 +24,7 @@
 
     static Address addressOf(uint16_t index) { return { "10.0.0.1", uint16_t(1000 + index) }; }
 
-    /// A VM at the address of @p index, with the first one as its seed.
+    /// Adds a VM at the address of @p index; its seeds are the first two addresses.
     void add(uint16_t index, const std::string &id, uint64_t incarnation = 1)
     {
         VmInfo self;
@@ -77,7 +77,7 @@
     {
         for (const OutgoingMessage &outgoing : outbox) {
             const std::string bytes = encodeMessage(outgoing.m_message);
-            m_longest = std::max(m_longest, bytes.size());
+            m_maxMessageBytes = std::max(m_maxMessageBytes, bytes.size());
             Node &node = m_nodes[from];
             node.m_bytesOut += bytes.size();
             ++node.m_messagesOut;
@@ -97,7 +97,7 @@
         return member ? std::optional(member->m_info.m_state) : std::nullopt;
     }
 
-    /// Whether each running VM sees exactly the running ones, and all as @p expected.
+    /// Whether each running VM lists exactly the running VMs, each in state @p expected.
     bool agree(VmState expected = VmState::Live)
     {
         size_t running = 0;
@@ -125,7 +125,7 @@
     std::function<bool(const Address &from, const Address &to)> m_lost;
     bool m_duplicate = false;
     uint64_t m_delayMillis = 5;
-    size_t m_longest = 0;
+    size_t m_maxMessageBytes = 0;
 
 private:
     static constexpr Millis Step{ 10 };
--- a/tests/peers/membership_state_test.cpp
+++ b/tests/peers/membership_state_test.cpp
@@ -53,7 +53,7 @@
         EXPECT_LE(node.m_messagesOut, 9 * Period);
     }
     EXPECT_LE(bytes / m_network.m_nodes.size() / Period, 1'000u);
-    EXPECT_LE(m_network.m_longest, MaxDatagramBytes);
+    EXPECT_LE(m_network.m_maxMessageBytes, MaxDatagramBytes);
     EXPECT_TRUE(m_network.agree());
 }
 
