--- a/peers/intent_relay.h
+++ b/peers/intent_relay.h
@@ -71,9 +71,8 @@
 struct IntentRelayOptions {
     Millis m_fetchTimeout{ 3'000 };
     Millis m_queryTimeout{ 1'000 };
-    Millis m_roleCheckInterval{
-        1'000
-    }; ///< Interval of the check whether this VM is a store watcher.
+    /// Interval of the check whether this VM is a store watcher.
+    Millis m_roleCheckInterval{ 1'000 };
     Millis m_retry{ 200 }; ///< First delay after a failed pull or load; doubles up to m_retryMax.
     Millis m_retryMax{ 5'000 };
 };
--- a/peers/rpc_channel.h
+++ b/peers/rpc_channel.h
@@ -20,9 +20,8 @@
     size_t m_queuedBytes = 32 * 1024 * 1024; ///< Unsent bytes; above this, send() fails.
     size_t m_callsInFlight = 4096; ///< Per connection.
     size_t m_connections = 4096;
-    Millis m_clientIdle{
-        60'000
-    }; ///< Shorter than the server's, so that no call is sent while the server closes.
+    /// Shorter than the server's, so that no call is sent while the server closes.
+    Millis m_clientIdle{ 60'000 };
     Millis m_serverIdle{ 180'000 };
     /// If a call times out after at least this time and no frame arrived meanwhile, the connection
     /// gets no new calls and the next call opens another. Connecting within a data centre takes a
