--- a/relay/condemned_record.cpp
+++ b/relay/condemned_record.cpp
@@ -40,7 +40,7 @@
 Result<SuspectNews> readEntry(const Json &entry, WallTime now)
 {
     if (!entry.is_object())
-        return makeError(ErrorCode::InvalidArgument, "an entry is not an object");
+        return makeError(ErrorCode::InvalidArgument, "an entry is no object");
     SuspectNews report;
     report.m_print = fingerprintFrom(stringField(entry, "print").value_or(""));
     const auto ends = entry.find("ends");
@@ -53,7 +53,7 @@
         return makeError(ErrorCode::InvalidArgument, "an entry lacks print, ends, trials or at_ms");
     for (const Json &end : *ends) {
         if (!end.is_number_unsigned())
-            return makeError(ErrorCode::InvalidArgument, "an element of ends is not a process key");
+            return makeError(ErrorCode::InvalidArgument, "an end is no name of a process");
         report.m_ends.push_back(end.get<uint64_t>());
     }
     report.m_trials = trials->get<uint32_t>();
@@ -83,7 +83,7 @@
         return tl::unexpected(object.error());
     const auto entries = object->find("condemned");
     if (entries == object->end() || !entries->is_array())
-        return makeError(ErrorCode::InvalidArgument, "condemned is missing or not a list");
+        return makeError(ErrorCode::InvalidArgument, "no list of condemned requests");
     std::vector<SuspectNews> quarantined;
     for (const Json &entry : *entries) {
         auto report = readEntry(entry, now);
--- a/relay/fleet_link.cpp
+++ b/relay/fleet_link.cpp
@@ -482,7 +482,7 @@
     const Status removed =
         m_hooks.m_ownSummary().m_reachesStore
             ? m_store.remove(m_source.m_vmsKind, { m_settings.m_vm.str(), {}, "" })
-            : Status(makeError(ErrorCode::Unavailable, "the store is unavailable"));
+            : Status(makeError(ErrorCode::Unavailable, "the store is away"));
     if (!removed)
         DecisionLine("peers", "own object not removed")
             .text("error", removed.error().m_message)
--- a/relay/memory_tickets.cpp
+++ b/relay/memory_tickets.cpp
@@ -30,7 +30,7 @@
                                      const HttpRequest &request)
 {
     if (!node.isCurrentProcess(reservation.m_endpoint))
-        return makeError(ErrorCode::Unavailable, "the endpoint's process has been replaced");
+        return makeError(ErrorCode::Unavailable, "the endpoint's process is another one now");
     HttpCallOptions options;
     options.m_timeout = ReservationTimeout;
     options.m_replaceAfter = ReplaceConnectionAfter;
@@ -101,7 +101,7 @@
     for (const GangMember &member : wanted) {
         if (abandoned) {
             releaseAll();
-            return makeError(ErrorCode::Cancelled, "the client disconnected");
+            return makeError(ErrorCode::Cancelled, "the caller left");
         }
         const auto address = parseAddress(member.m_endpoint.m_address);
         if (!address)
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -114,7 +114,7 @@
     const EndpointRecord &endpoint = plan.m_members.front().m_endpoint;
     const auto address = parseAddress(endpoint.m_address);
     if (!address)
-        return failAttempt(endpoint, FailureWeight::Telling, "invalid address");
+        return failAttempt(endpoint, FailureWeight::Telling, "no address");
     // A dead connection is also costly if memory is reserved on other endpoints meanwhile.
     const bool holdsMemory = std::any_of(plan.m_members.begin(), plan.m_members.end(),
                                          [](const GangMember &member) { return member.m_reserve; });
@@ -239,7 +239,7 @@
     const bool ours = head.m_id == m_head.m_id || (head.m_id.empty() && !reused);
     if (!ours)
         return failAttempt(endpoint, FailureWeight::Chance,
-                           "the response belongs to another request");
+                           "the answer belongs to another request");
     if (head.m_notRun)
         return handleRefusal(connection, endpoint, head, *response, reused);
     if (m_route->m_kind == RouteKind::Stream && isSuccess(response->m_status))
@@ -290,8 +290,7 @@
     if (!body)
         return failRead(connection, endpoint, body.error());
     if (!head.m_signed || head.m_encoded)
-        return failAttempt(endpoint, FailureWeight::Chance,
-                           "the response is unsigned or was changed by an intermediary");
+        return failAttempt(endpoint, FailureWeight::Chance, "the answer is not the endpoint's own");
     response.m_body = std::move(*body);
     response.m_headers = head.m_endToEnd;
     if (response.m_status < StatusServerError) {
@@ -324,8 +323,7 @@
                                               TimePoint firstEventBy)
 {
     if (!head.m_signed || head.m_encoded)
-        return failAttempt(endpoint, FailureWeight::Chance,
-                           "the response is unsigned or was changed by an intermediary");
+        return failAttempt(endpoint, FailureWeight::Chance, "the answer is not the endpoint's own");
     EventSplitter events;
     std::string piece;
     bool first = true;
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -248,7 +248,7 @@
         endpoints += pool.size();
     if (m_stopping || !recordSharedFailure(m_ejections, endpoint, endpoints, vm, Clock::now()))
         return;
-    noteEjection(m_metrics, endpoint, "it broke off responses to several VMs");
+    noteEjection(m_metrics, endpoint, "it broke off answers to several VMs");
 }
 
 void RelayNode::recordResponse(const LoadKey &key)
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -187,7 +187,7 @@
         announced = true;
         if (cannotFinish || !sleepFor(m_node.m_thread.context(), TurnPoll) || m_clientDisconnected
             || remainingTime() <= TurnPoll) {
-            m_failureReason = "ended while it waited in the queue";
+            m_failureReason = "waited for its turn";
             return std::nullopt;
         }
     }
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -87,7 +87,7 @@
         if (fresh)
             refuse(StatusNotFound, "no such route", {});
         else
-            refuse(StatusUnavailable, "no such route, but the configuration may be outdated",
+            refuse(StatusUnavailable, "no such route in a configuration of some age",
                    RetryAfterStart);
         return false;
     }
@@ -130,10 +130,9 @@
     if (verdict.mayTry())
         return true;
     m_quarantineRetryAfter = std::chrono::duration_cast<Millis>(verdict.m_comeBack);
-    m_failureReason =
-        verdict.m_care == SuspectCare::Condemned
-            ? "quarantined: endpoint processes exited while they ran it"
-            : "suspected of crashing endpoints, and an attempt is in progress elsewhere";
+    m_failureReason = verdict.m_care == SuspectCare::Condemned
+                          ? "the processes of endpoints ended under it"
+                          : "endpoints ended under it, and it is being tried elsewhere";
     m_node.m_metrics.m_blocked.add();
     return false;
 }
@@ -148,7 +147,7 @@
     const RelayBounds &bounds = m_view->m_bounds;
     const Duration bound = bounds.m_revoke - FreshnessMargin;
     if (bounds.m_strictKeys && !freshEnough(m_view->m_proof, routes.m_version, bound, m_arrival)) {
-        refuse(StatusUnavailable, "keys cannot be checked: the configuration may be outdated",
+        refuse(StatusUnavailable, "keys cannot be checked: the configuration may be old",
                RetryAfterStart);
         return false;
     }
@@ -157,7 +156,7 @@
         if (fresh)
             refuse(StatusUnauthorized, "no such key", {});
         else
-            refuse(StatusUnavailable, "no such key, but the configuration may be outdated",
+            refuse(StatusUnavailable, "no such key in a configuration of some age",
                    RetryAfterStart);
         return false;
     }
@@ -200,7 +199,7 @@
         if (!plan && isModelRequest())
             break;
         if (!plan) {
-            m_failureReason = "no endpoint can take the request";
+            m_failureReason = "no endpoint can take it";
             const bool waited = sleepFor(m_node.m_thread.context(), PlacementRetryDelay);
             if (waited)
                 continue;
@@ -328,7 +327,7 @@
 
 void RelayRun::abortForShutdown()
 {
-    m_failureReason = "the daemon is shutting down";
+    m_failureReason = "the process ends";
     if (m_connection)
         m_connection->cancel();
     DecisionLine("relay", "request given up")
