--- a/policy/route_table.cpp
+++ b/policy/route_table.cpp
@@ -13,7 +13,8 @@
         for (const WeightedService &weighted : route.m_services) {
             const auto service = table.m_services.find(weighted.m_service);
             if (service != table.m_services.end())
-                service->second.m_longestAim = std::max(service->second.m_longestAim, route.m_aim);
+                service->second.m_longestAim =
+                    std::max(service->second.m_longestAim, route.m_latencyTarget);
         }
     }
 }
@@ -47,7 +48,7 @@
     return nullptr;
 }
 
-const ServiceId &drawService(const Route &route, double draw)
+const ServiceId &selectService(const Route &route, double draw)
 {
     uint64_t total = 0;
     for (const WeightedService &service : route.m_services)
--- a/policy/route_table.h
+++ b/policy/route_table.h
@@ -36,7 +36,7 @@
     std::vector<WeightedService> m_services; ///< At least one.
     Millis m_timeout{ 10'000 }; ///< Max time until the final answer.
     /// Latency target: a first answer or event within this time earns full credit.
-    Millis m_aim{ 1'000 };
+    Millis m_latencyTarget{ 1'000 };
     Millis m_gapAim{ 0 }; ///< Longest tolerated gap between events; zero: none declared.
     uint32_t m_maxAttempts = 1; ///< Max number of endpoints that one request may be sent to.
     uint32_t m_priority = 5; ///< 0 is the most urgent.
@@ -96,7 +96,7 @@
 
 /// Selects one of the route's services with a probability by weight; @p draw is a uniform random
 /// number in [0, 1).
-const ServiceId &drawService(const Route &route, double draw);
+const ServiceId &selectService(const Route &route, double draw);
 
 /// "safe", "unsafe" or "stream".
 std::string_view routeKindName(RouteKind kind);
--- a/policy/turn_plan.cpp
+++ b/policy/turn_plan.cpp
@@ -68,7 +68,7 @@
     const FloatMillis toBegin = neededToBegin(settings, costs, request, engines);
     const Duration needed = part(toBegin, 1);
     WaitingTurn queued;
-    queued.m_aimAt = request.m_arrival + request.m_aim;
+    queued.m_aimAt = request.m_arrival + request.m_latencyTarget;
     queued.m_needed = needed;
     queued.m_expiresAt =
         request.m_arrival
@@ -78,12 +78,12 @@
         return queued;
     // Prompts of all sizes are refused after the same wait: small ones while they could still be
     // in time, large ones when they no longer can.
-    const Duration wait = part(request.m_aim, settings.m_maxWaitShare);
-    const Duration past = std::max(wait + needed - request.m_aim, Duration::zero());
+    const Duration wait = part(request.m_latencyTarget, settings.m_maxWaitShare);
+    const Duration past = std::max(wait + needed - request.m_latencyTarget, Duration::zero());
     const Duration reading =
         part(toBegin - settings.m_prefillOverhead, settings.m_prefillLeadShare);
     queued.m_aimAt += past;
-    queued.m_needed = std::max(needed, request.m_aim - wait);
+    queued.m_needed = std::max(needed, request.m_latencyTarget - wait);
     // The order in the queue depends on the latency target of the route and the prefill time.
     queued.m_lead = past + std::max(reading, Duration::zero());
     return queued;
@@ -150,7 +150,7 @@
     query.m_promptTokens = request.m_promptTokens;
     query.m_answerTokens = static_cast<double>(costs.m_usualAnswerTokens);
     query.m_gapLimitMs = request.m_gapLimitMs;
-    query.m_timeLeft = request.m_arrival + request.m_aim - now;
+    query.m_timeLeft = request.m_arrival + request.m_latencyTarget - now;
     query.m_disruption = disruption;
     return query;
 }
--- a/policy/turn_plan.h
+++ b/policy/turn_plan.h
@@ -20,7 +20,7 @@
 struct ModelRequest {
     double m_promptTokens = 0;
     uint32_t m_gapLimitMs = 0; ///< Longest tolerated gap between events; 0: no limit.
-    Duration m_aim{}; ///< Latency target: from the arrival to the first event.
+    Duration m_latencyTarget{}; ///< Latency target: from the arrival to the first event.
     Duration m_patience{}; ///< Silence after which its caller gives up.
     TimePoint m_arrival{};
     TimePoint m_deadline{};
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -84,7 +84,7 @@
     if (!mayRetry())
         return remainingTime();
     if (m_route->m_kind != RouteKind::Stream)
-        return std::max<Duration>(m_route->m_aim * ServiceAims, MinFirstEventTimeout);
+        return std::max<Duration>(m_route->m_latencyTarget * ServiceAims, MinFirstEventTimeout);
     // With a long backlog, a late first event says little about the endpoint.
     return std::max(streamSilenceTimeout(),
                     std::chrono::duration_cast<Duration>(plan.m_firstEvent * LateFactor));
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -85,7 +85,7 @@
     ModelRequest request;
     request.m_promptTokens = static_cast<double>(m_head.m_promptTokens);
     request.m_gapLimitMs = gapLimitMs();
-    request.m_aim = m_route->m_aim;
+    request.m_latencyTarget = m_route->m_latencyTarget;
     request.m_patience = clientPatience();
     request.m_arrival = m_arrival;
     request.m_deadline = m_deadline;
@@ -115,7 +115,7 @@
 Duration RelayRun::timeToComplete(double slack) const
 {
     if (!isModelRequest())
-        return std::chrono::duration_cast<Duration>(m_route->m_aim * slack);
+        return std::chrono::duration_cast<Duration>(m_route->m_latencyTarget * slack);
     const EngineCosts &costs = *m_service->m_engine;
     const auto usual = static_cast<double>(costs.m_usualAnswerTokens);
     const auto limit = static_cast<double>(m_head.m_answerTokens);
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -94,7 +94,7 @@
     if (!admitKey(fresh))
         return false;
     const double draw = std::uniform_real_distribution<double>(0, 1)(m_node.m_random);
-    m_serviceId = drawService(*m_route, draw);
+    m_serviceId = selectService(*m_route, draw);
     const auto service = routes.m_services.find(m_serviceId);
     m_service = service == routes.m_services.end() ? nullptr : &service->second;
     m_deadline =
@@ -227,8 +227,8 @@
 
 Duration RelayRun::clientPatience() const
 {
-    return std::max(
-        { MinClientPatience, m_route->m_aim * PatienceAims, m_route->m_gapAim * PatienceGaps });
+    return std::max({ MinClientPatience, m_route->m_latencyTarget * PatienceAims,
+                      m_route->m_gapAim * PatienceGaps });
 }
 
 void RelayRun::finishUnanswered()
@@ -305,7 +305,7 @@
         .number("arrivals", m_sentAttempts)
         .number("first_ms", std::chrono::duration_cast<Millis>(m_firstEventDelay).count())
         .number("longest_gap_ms", std::chrono::duration_cast<Millis>(m_longestGap).count())
-        .number("aim_ms", m_route ? m_route->m_aim.count() : 0)
+        .number("aim_ms", m_route ? m_route->m_latencyTarget.count() : 0)
         .number("gap_aim_ms", m_route ? m_route->m_gapAim.count() : 0)
         .number("drain_ms", arrivedInDrainMs())
         .number("ms", std::chrono::duration_cast<Millis>(now - m_arrival).count())
--- a/tests/policy/gang_plan_test.cpp
+++ b/tests/policy/gang_plan_test.cpp
@@ -556,7 +556,7 @@
 {
     ModelRequest request;
     request.m_promptTokens = 100'000;
-    request.m_aim = Seconds(3);
+    request.m_latencyTarget = Seconds(3);
     request.m_arrival = Start;
     request.m_deadline = Start + Seconds(60);
     const WaitingTurn queued = turnOf({}, declaredEngineCosts(), request, 18);
--- a/tests/policy/pool_sim.cpp
+++ b/tests/policy/pool_sim.cpp
@@ -154,9 +154,9 @@
         ModelRequest &request = prompt.m_request;
         request.m_promptTokens = prompt.m_outcome.m_tokens;
         request.m_gapLimitMs = of.m_gapLimitMs;
-        request.m_aim = of.m_aim;
-        request.m_patience = std::max(
-            { MinPatience, of.m_aim * PatienceTargets, Millis(of.m_gapLimitMs) * PatienceGaps });
+        request.m_latencyTarget = of.m_latencyTarget;
+        request.m_patience = std::max({ MinPatience, of.m_latencyTarget * PatienceTargets,
+                                        Millis(of.m_gapLimitMs) * PatienceGaps });
         request.m_arrival =
             Start + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(at));
         request.m_deadline = request.m_arrival + of.m_deadline;
@@ -196,7 +196,7 @@
     {
         Duration longest{};
         for (const PromptKind &kind : m_load.m_kinds)
-            longest = std::max<Duration>(longest, kind.m_aim);
+            longest = std::max<Duration>(longest, kind.m_latencyTarget);
         return longest;
     }
 
@@ -345,7 +345,7 @@
             prompt.m_callerGone || silence > request.m_patience || now > request.m_deadline;
         if (first) {
             m_ledger.startWriting(prompt.m_key);
-            prompt.m_outcome.m_inTarget = silence <= request.m_aim;
+            prompt.m_outcome.m_inTarget = silence <= request.m_latencyTarget;
         } else if (silence > Millis(request.m_gapLimitMs)) {
             prompt.m_outcome.m_inTarget = false;
         }
--- a/tests/policy/pool_sim.h
+++ b/tests/policy/pool_sim.h
@@ -17,7 +17,7 @@
     double m_meanTokens = 0;
     double m_spread = 0; ///< Standard deviation of the logarithm.
     double m_maxTokens = 0;
-    Millis m_aim{}; ///< Latency target of the first event.
+    Millis m_latencyTarget{}; ///< Latency target of the first event.
     uint32_t m_gapLimitMs = 0; ///< Longest tolerated gap between events.
     Millis m_deadline{};
     double m_meanEvents = 1;
--- a/tests/policy/pool_worth.cpp
+++ b/tests/policy/pool_worth.cpp
@@ -103,7 +103,8 @@
         // The bound assumes that late answers need no engine time.
         earned += late;
         // Rounded outwards, so that no job has a shorter interval than its prompt.
-        const Job job{ momentOf(outcome.m_arrival), momentOf(outcome.m_arrival + kind.m_aim) + 1,
+        const Job job{ momentOf(outcome.m_arrival),
+                       momentOf(outcome.m_arrival + kind.m_latencyTarget) + 1,
                        prefillDuration(load.m_costs, outcome.m_tokens) / FloatMillis(Seconds(1)),
                        full - late };
         last = std::max(last, job.m_to);
--- a/tests/policy/pool_worth_test.cpp
+++ b/tests/policy/pool_worth_test.cpp
@@ -16,7 +16,7 @@
     load.m_costs.m_readTokensPerSecond = 1'000;
     PromptKind kind;
     kind.m_meanTokens = 1'000;
-    kind.m_aim = Millis(1'000);
+    kind.m_latencyTarget = Millis(1'000);
     load.m_kinds = { kind };
     return load;
 }
--- a/tests/policy/route_table_test.cpp
+++ b/tests/policy/route_table_test.cpp
@@ -35,10 +35,10 @@
 {
     Route route;
     route.m_services = { { ServiceId("a"), 90 }, { ServiceId("b"), 0 }, { ServiceId("c"), 10 } };
-    EXPECT_EQ(drawService(route, 0).str(), "a");
-    EXPECT_EQ(drawService(route, 0.899).str(), "a");
-    EXPECT_EQ(drawService(route, 0.901).str(), "c");
-    EXPECT_EQ(drawService(route, 0.999999).str(), "c");
+    EXPECT_EQ(selectService(route, 0).str(), "a");
+    EXPECT_EQ(selectService(route, 0.899).str(), "a");
+    EXPECT_EQ(selectService(route, 0.901).str(), "c");
+    EXPECT_EQ(selectService(route, 0.999999).str(), "c");
 }
 
 TEST(RouteTableTest, OnlyResumableStreamsAndSafeRequestsAreRepeatable)
--- a/tests/policy/size_fairness_test.cpp
+++ b/tests/policy/size_fairness_test.cpp
@@ -60,7 +60,7 @@
     longKind.m_meanTokens = between(130'000, 230'000);
     longKind.m_maxTokens = longKind.m_meanTokens * 3;
     longKind.m_spread = between(0.4, 0.6);
-    longKind.m_aim = Millis(static_cast<int64_t>(between(2'500, 4'000)));
+    longKind.m_latencyTarget = Millis(static_cast<int64_t>(between(2'500, 4'000)));
     const auto engines = static_cast<double>(load.m_engines);
     const double spread = std::exp(longKind.m_spread * longKind.m_spread);
     const double readMs =
