--- a/policy/retry_window.h
+++ b/policy/retry_window.h
@@ -26,7 +26,7 @@
 /// Recent requests and retries of one VM for one service.
 struct RetryWindow {
     std::deque<TimePoint> m_requests; ///< Arrival times of clients' requests, oldest first.
-    std::deque<TimePoint> m_repeats; ///< Times of retries, oldest first.
+    std::deque<TimePoint> m_retries; ///< Times of retries, oldest first.
 };
 
 /// State of one VM.
