--- a/control/daemon.cpp
+++ b/control/daemon.cpp
@@ -32,7 +32,7 @@
     node.m_dataCentre = DataCentreId(settings.m_dataCentre);
     node.m_policy = settings.m_policy;
     node.m_streamIdleTimeout = settings.m_streamIdleTimeout;
-    node.m_drain.m_notice = settings.m_drainLag;
+    node.m_drain.m_balancerNotice = settings.m_drainLag;
     node.m_drain.m_linger = settings.m_drainLag;
     node.m_drain.m_grace = settings.m_drainTimeout;
     return node;
--- a/policy/drain.cpp
+++ b/policy/drain.cpp
@@ -16,7 +16,7 @@
 {
     if (canEnd(plan, now, time.m_max))
         return true;
-    return now < plan.m_begunAt + plan.m_notice && canEnd(plan, now, time.m_expected);
+    return now < plan.m_begunAt + plan.m_balancerNotice && canEnd(plan, now, time.m_expected);
 }
 
 bool endsNow(const DrainPlan &plan, TimePoint now, size_t inProgress)
--- a/policy/drain.h
+++ b/policy/drain.h
@@ -15,7 +15,7 @@
 struct DrainPlan {
     TimePoint m_begunAt{}; ///< When the drain started; TimePoint{}: not draining.
     /// Time from the start of the drain until the balancer stops sending new connections.
-    Duration m_notice{};
+    Duration m_balancerNotice{};
     /// Min time from the start of the drain to exit, to answer requests on open connections.
     Duration m_linger{};
     /// Time from the start of the drain after which requests in progress are aborted.
