--- a/policy/crash_suspects.cpp
+++ b/policy/crash_suspects.cpp
@@ -11,7 +11,7 @@
 
 bool quarantined(const SuspectTable &table, const Suspect &suspect)
 {
-    return suspect.m_ends.size() >= table.m_settings.m_quarantineThreshold;
+    return suspect.m_crashes.size() >= table.m_settings.m_quarantineThreshold;
 }
 
 /// If the table is full, removes the suspect with the fewest crashes, the oldest one of several.
@@ -19,12 +19,13 @@
 {
     if (table.m_suspects.size() < table.m_settings.m_maxSuspects)
         return;
-    const auto least = std::min_element(
-        table.m_suspects.begin(), table.m_suspects.end(), [](const auto &left, const auto &right) {
-            const Suspect &a = left.second;
-            const Suspect &b = right.second;
-            return std::pair(a.m_ends.size(), a.m_lastAt) < std::pair(b.m_ends.size(), b.m_lastAt);
-        });
+    const auto least = std::min_element(table.m_suspects.begin(), table.m_suspects.end(),
+                                        [](const auto &left, const auto &right) {
+                                            const Suspect &a = left.second;
+                                            const Suspect &b = right.second;
+                                            return std::pair(a.m_crashes.size(), a.m_lastAt)
+                                                   < std::pair(b.m_crashes.size(), b.m_lastAt);
+                                        });
     const Fingerprint fingerprint = least->first;
     removeSuspect(table, fingerprint);
 }
@@ -46,16 +47,16 @@
 
 bool addCrash(const SuspectTable &table, Suspect &suspect, uint64_t process)
 {
-    if (quarantined(table, suspect) || contains(suspect.m_ends, process))
+    if (quarantined(table, suspect) || contains(suspect.m_crashes, process))
         return false;
-    suspect.m_ends.push_back(process);
+    suspect.m_crashes.push_back(process);
     return true;
 }
 
 bool isCleared(const SuspectTable &table, const Fingerprint &fingerprint, uint64_t process)
 {
     const auto cleared = table.m_cleared.find(fingerprint);
-    return cleared != table.m_cleared.end() && contains(cleared->second.m_ends, process);
+    return cleared != table.m_cleared.end() && contains(cleared->second.m_crashes, process);
 }
 
 /// Finds or adds the entry of a cleared request; if the table is full, the oldest entry is removed.
@@ -73,7 +74,7 @@
                         const LoadKey &own, TimePoint now)
 {
     return static_cast<size_t>(
-        std::count_if(table.m_tries.begin(), table.m_tries.end(), [&](const auto &entry) {
+        std::count_if(table.m_attempts.begin(), table.m_attempts.end(), [&](const auto &entry) {
             const auto &[key, attempt] = entry;
             return attempt.m_print == fingerprint && attempt.m_until > now && !(key == own);
         }));
@@ -89,7 +90,7 @@
         return { SuspectCare::Condemned, due - now };
     if (inFlight)
         return { SuspectCare::Busy, BusyRetryDelay };
-    return { SuspectCare::Alone };
+    return { SuspectCare::LowLoad };
 }
 
 } // namespace
@@ -99,8 +100,8 @@
     return stableHash(endpoint.str(), startedMs);
 }
 
-SuspectChange noteEnd(SuspectTable &table, const Fingerprint &fingerprint, uint64_t process,
-                      TimePoint now)
+SuspectChange recordCrash(SuspectTable &table, const Fingerprint &fingerprint, uint64_t process,
+                          TimePoint now)
 {
     if (isCleared(table, fingerprint, process))
         return SuspectChange::None;
@@ -115,7 +116,7 @@
 {
     const Duration age = Millis(std::min<uint64_t>(
         news.m_ageMs, std::chrono::duration_cast<Millis>(table.m_settings.m_retention).count()));
-    std::vector<uint64_t> ends = news.m_ends;
+    std::vector<uint64_t> ends = news.m_crashes;
     std::erase_if(ends, [&](uint64_t process) { return isCleared(table, news.m_print, process); });
     if (ends.empty() || age >= table.m_settings.m_retention)
         return SuspectChange::None;
@@ -150,15 +151,15 @@
     std::vector<uint64_t> all = ends;
     const auto suspect = table.m_suspects.find(fingerprint);
     if (suspect != table.m_suspects.end())
-        all.insert(all.end(), suspect->second.m_ends.begin(), suspect->second.m_ends.end());
+        all.insert(all.end(), suspect->second.m_crashes.begin(), suspect->second.m_crashes.end());
     bool changed = removeSuspect(table, fingerprint);
     for (const uint64_t process : all) {
         if (isCleared(table, fingerprint, process))
             continue;
         ClearedCrashes &cleared = findOrAddCleared(table, fingerprint);
-        if (cleared.m_ends.size() >= table.m_settings.m_maxClearedCrashes)
-            cleared.m_ends.erase(cleared.m_ends.begin());
-        cleared.m_ends.push_back(process);
+        if (cleared.m_crashes.size() >= table.m_settings.m_maxClearedCrashes)
+            cleared.m_crashes.erase(cleared.m_crashes.begin());
+        cleared.m_crashes.push_back(process);
         cleared.m_at = now;
         changed = true;
     }
@@ -170,12 +171,13 @@
     const auto suspect = table.m_suspects.find(fingerprint);
     if (suspect == table.m_suspects.end())
         return SuspectCare::None;
-    const bool alone = suspect->second.m_ends.size() + 1 >= table.m_settings.m_quarantineThreshold;
-    return alone ? SuspectCare::Alone : SuspectCare::Apart;
+    const bool alone =
+        suspect->second.m_crashes.size() + 1 >= table.m_settings.m_quarantineThreshold;
+    return alone ? SuspectCare::LowLoad : SuspectCare::Apart;
 }
 
-SuspectVerdict judge(const SuspectTable &table, const Fingerprint &fingerprint, const LoadKey &own,
-                     TimePoint now)
+SuspectVerdict decideAttempt(const SuspectTable &table, const Fingerprint &fingerprint,
+                             const LoadKey &own, TimePoint now)
 {
     const SuspectSettings &settings = table.m_settings;
     const auto known = table.m_suspects.find(fingerprint);
@@ -184,12 +186,12 @@
     const Suspect &suspect = known->second;
     const size_t tries = attemptsInFlight(table, fingerprint, own, now);
     if (quarantined(table, suspect)) {
-        const auto begun = table.m_tries.find(own);
-        const bool ownProbe = begun != table.m_tries.end() && begun->second.m_trial;
-        return ownProbe ? SuspectVerdict{ SuspectCare::Alone }
+        const auto begun = table.m_attempts.find(own);
+        const bool ownProbe = begun != table.m_attempts.end() && begun->second.m_trial;
+        return ownProbe ? SuspectVerdict{ SuspectCare::LowLoad }
                         : handleQuarantined(settings, suspect, tries > 0, now);
     }
-    const size_t remaining = settings.m_quarantineThreshold - suspect.m_ends.size();
+    const size_t remaining = settings.m_quarantineThreshold - suspect.m_crashes.size();
     if (tries >= remaining)
         return { SuspectCare::Busy, BusyRetryDelay };
     return { placementOf(table, fingerprint) };
@@ -201,11 +203,12 @@
     const auto known = table.m_suspects.find(fingerprint);
     if (known == table.m_suspects.end())
         return;
-    std::erase_if(table.m_tries, [now](const auto &entry) { return entry.second.m_until <= now; });
+    std::erase_if(table.m_attempts,
+                  [now](const auto &entry) { return entry.second.m_until <= now; });
     Suspect &suspect = known->second;
     const bool probe = quarantined(table, suspect);
     const bool first =
-        table.m_tries.emplace(key, SuspectAttempt{ fingerprint, until, probe }).second;
+        table.m_attempts.emplace(key, SuspectAttempt{ fingerprint, until, probe }).second;
     if (!first || !probe)
         return;
     ++suspect.m_trials;
@@ -214,7 +217,7 @@
 
 void endTry(SuspectTable &table, const LoadKey &key)
 {
-    table.m_tries.erase(key);
+    table.m_attempts.erase(key);
 }
 
 std::vector<SuspectNews> newsOf(const SuspectTable &table, size_t most, TimePoint now)
@@ -222,12 +225,12 @@
     std::vector<SuspectNews> all;
     for (const auto &[fingerprint, suspect] : table.m_suspects) {
         const auto age = std::chrono::duration_cast<Millis>(now - suspect.m_lastAt).count();
-        all.push_back({ fingerprint, suspect.m_ends, suspect.m_trials,
+        all.push_back({ fingerprint, suspect.m_crashes, suspect.m_trials,
                         static_cast<uint64_t>(std::max<Millis::rep>(age, 0)) });
     }
     std::sort(all.begin(), all.end(), [](const SuspectNews &left, const SuspectNews &right) {
-        if (left.m_ends.size() != right.m_ends.size())
-            return left.m_ends.size() > right.m_ends.size();
+        if (left.m_crashes.size() != right.m_crashes.size())
+            return left.m_crashes.size() > right.m_crashes.size();
         return left.m_ageMs < right.m_ageMs;
     });
     if (all.size() > most)
@@ -237,7 +240,7 @@
 
 bool isCondemned(const SuspectTable &table, const SuspectNews &news)
 {
-    return news.m_ends.size() >= table.m_settings.m_quarantineThreshold;
+    return news.m_crashes.size() >= table.m_settings.m_quarantineThreshold;
 }
 
 void forgetOldSuspects(SuspectTable &table, TimePoint now)
--- a/policy/crash_suspects.h
+++ b/policy/crash_suspects.h
@@ -46,14 +46,14 @@
 };
 
 struct Suspect {
-    std::vector<uint64_t> m_ends; ///< Crashed processes, by processName(); up to the threshold.
+    std::vector<uint64_t> m_crashes; ///< Crashed processes, by processName(); up to the threshold.
     uint32_t m_trials = 0; ///< Probes since it was quarantined.
     TimePoint m_lastAt{}; ///< Last crash or probe.
 };
 
 /// Crashes that a request did not cause, as it completed after them.
 struct ClearedCrashes {
-    std::vector<uint64_t> m_ends; ///< Crashed processes, by processName().
+    std::vector<uint64_t> m_crashes; ///< Crashed processes, by processName().
     TimePoint m_at{}; ///< When the latest one was added.
 };
 
@@ -67,7 +67,7 @@
 struct SuspectTable {
     SuspectSettings m_settings;
     std::unordered_map<Fingerprint, Suspect, FingerprintHash> m_suspects;
-    std::unordered_map<LoadKey, SuspectAttempt, LoadKeyHash> m_tries;
+    std::unordered_map<LoadKey, SuspectAttempt, LoadKeyHash> m_attempts;
     std::unordered_map<uint64_t, uint32_t> m_suspectsPerOutline; ///< By Fingerprint::m_outline.
     std::unordered_map<Fingerprint, ClearedCrashes, FingerprintHash> m_cleared;
 
@@ -81,27 +81,30 @@
 /// State of a suspect as sent to other VMs, and as stored for a quarantined one.
 struct SuspectNews {
     Fingerprint m_print;
-    std::vector<uint64_t> m_ends;
+    std::vector<uint64_t> m_crashes;
     uint32_t m_trials = 0;
     uint64_t m_ageMs = 0; ///< Since the last crash or probe.
 
-    MSGPACK_DEFINE(m_print, m_ends, m_trials, m_ageMs)
+    MSGPACK_DEFINE(m_print, m_crashes, m_trials, m_ageMs)
 };
 
 /// How an attempt of a request may be placed.
 enum class SuspectCare {
     None, ///< Not a suspect: anywhere.
     Apart, ///< On an engine without another suspect.
-    Alone, ///< As Apart, and on an engine with little load.
+    LowLoad, ///< As Apart, and on an engine with little load.
     Busy, ///< Not now: too many attempts of it are in flight.
     Condemned, ///< Not at all, except for probes.
 };
 
 struct SuspectVerdict {
-    SuspectCare m_care = SuspectCare::None;
+    SuspectCare m_handling = SuspectCare::None;
     Duration m_comeBack{}; ///< Busy and Condemned only: time until the next attempt is allowed.
 
-    bool mayTry() const { return m_care != SuspectCare::Busy && m_care != SuspectCare::Condemned; }
+    bool mayTry() const
+    {
+        return m_handling != SuspectCare::Busy && m_handling != SuspectCare::Condemned;
+    }
 };
 
 /// How a crash or a peer's report changed the table.
@@ -116,8 +119,8 @@
 
 /// Records that @p process crashed while the request was in progress on it. Reports of the same
 /// crash count once; crashes before the request was cleared do not count.
-SuspectChange noteEnd(SuspectTable &table, const Fingerprint &fingerprint, uint64_t process,
-                      TimePoint now);
+SuspectChange recordCrash(SuspectTable &table, const Fingerprint &fingerprint, uint64_t process,
+                          TimePoint now);
 /// Merges a peer's report. Reports may arrive in any order and repeatedly.
 SuspectChange joinNews(SuspectTable &table, const SuspectNews &news, TimePoint now);
 /// Removes a suspect without remembering its crashes. False if it was not a suspect.
@@ -128,9 +131,9 @@
                  const std::vector<uint64_t> &ends, TimePoint now);
 /// Decides whether an attempt of the request may be made, and where. Its own attempt @p own, if it
 /// is in flight already, does not count against it.
-SuspectVerdict judge(const SuspectTable &table, const Fingerprint &fingerprint, const LoadKey &own,
-                     TimePoint now);
-/// Placement of an attempt, regardless of the number in flight: None, Apart or Alone.
+SuspectVerdict decideAttempt(const SuspectTable &table, const Fingerprint &fingerprint,
+                             const LoadKey &own, TimePoint now);
+/// Placement of an attempt, regardless of the number in flight: None, Apart or LowLoad.
 SuspectCare placementOf(const SuspectTable &table, const Fingerprint &fingerprint);
 /// Records an attempt of a suspect as in flight until endTry(), or until @p until at the latest. An
 /// attempt of a quarantined one counts as a probe. Ignored if the request is not a suspect.
--- a/relay/condemned_record.cpp
+++ b/relay/condemned_record.cpp
@@ -24,7 +24,7 @@
 
 bool covers(const SuspectNews &known, const SuspectNews &report)
 {
-    return known.m_ends.size() >= report.m_ends.size() && known.m_trials >= report.m_trials;
+    return known.m_crashes.size() >= report.m_crashes.size() && known.m_trials >= report.m_trials;
 }
 
 /// Whether @p known contains everything that @p reports contains.
@@ -54,7 +54,7 @@
     for (const Json &end : *ends) {
         if (!end.is_number_unsigned())
             return makeError(ErrorCode::InvalidArgument, "an end is no name of a process");
-        report.m_ends.push_back(end.get<uint64_t>());
+        report.m_crashes.push_back(end.get<uint64_t>());
     }
     report.m_trials = trials->get<uint32_t>();
     report.m_ageMs =
@@ -69,7 +69,7 @@
     Json entries = Json::array();
     for (const SuspectNews &report : quarantined) {
         entries.push_back({ { "print", toString(report.m_print) },
-                            { "ends", report.m_ends },
+                            { "ends", report.m_crashes },
                             { "trials", report.m_trials },
                             { "at_ms", millisOf(now) - static_cast<int64_t>(report.m_ageMs) } });
     }
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -60,7 +60,7 @@
     for (const GangMember &member : plan.m_members)
         parts.push_back({ member.m_endpoint.m_id, member.m_readMs, member.m_tokens });
     m_node.place(m_loadKey, std::move(parts), gapLimitMs(), remainingTime() + LedgerSlack,
-                 m_care == SuspectCare::None ? std::nullopt : m_print);
+                 m_suspectHandling == SuspectCare::None ? std::nullopt : m_print);
     logPlacement(plan);
     const AttemptResult end = attemptPlaced(plan, reservations);
     m_node.end(m_loadKey);
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -46,10 +46,11 @@
 std::optional<GangPlan> RelayRun::choosePlan(StreamCare care, const PoolState &seen)
 {
     const std::vector<EndpointRecord> pool = candidates();
-    const auto places = m_node.m_suspects.eligibleEndpoints(m_care, pool, m_node.m_ledger);
+    const auto places =
+        m_node.m_suspects.eligibleEndpoints(m_suspectHandling, pool, m_node.m_ledger);
     auto plan = planWithin(places, care, seen);
     // Prefers an endpoint with other suspects to none: most suspects are harmless.
-    if (!plan && m_care == SuspectCare::Apart && places.size() < pool.size())
+    if (!plan && m_suspectHandling == SuspectCare::Apart && places.size() < pool.size())
         plan = planWithin(pool, care, seen);
     return plan;
 }
@@ -226,7 +227,7 @@
         .number("wait_ms", std::chrono::duration_cast<Millis>(Clock::now() - m_arrival).count())
         .number("in_flight", static_cast<int64_t>(m_node.m_ledger.size()))
         .number("tried", static_cast<int64_t>(m_triedEndpoints.size()))
-        .flag("suspect", m_care != SuspectCare::None)
+        .flag("suspect", m_suspectHandling != SuspectCare::None)
         .write();
 }
 
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -122,15 +122,15 @@
 bool RelayRun::maySend()
 {
     if (!maybeSuspect()) {
-        m_care = SuspectCare::None;
+        m_suspectHandling = SuspectCare::None;
         return true;
     }
-    const SuspectVerdict verdict = m_node.m_suspects.judge(fingerprint(), m_loadKey);
-    m_care = verdict.m_care;
+    const SuspectVerdict verdict = m_node.m_suspects.decideAttempt(fingerprint(), m_loadKey);
+    m_suspectHandling = verdict.m_handling;
     if (verdict.mayTry())
         return true;
     m_quarantineRetryAfter = std::chrono::duration_cast<Millis>(verdict.m_comeBack);
-    m_failureReason = verdict.m_care == SuspectCare::Condemned
+    m_failureReason = verdict.m_handling == SuspectCare::Condemned
                           ? "the processes of endpoints ended under it"
                           : "endpoints ended under it, and it is being tried elsewhere";
     m_node.m_metrics.m_blocked.add();
--- a/relay/relay_run.h
+++ b/relay/relay_run.h
@@ -166,7 +166,7 @@
     std::optional<HttpResponse> m_endpointFailure;
     std::string m_failureReason; ///< Reason of the last failed attempt.
     /// Restrictions on the placement of a suspect, as last decided.
-    SuspectCare m_care = SuspectCare::None;
+    SuspectCare m_suspectHandling = SuspectCare::None;
     /// Set once the request is not sent any more: when the client may retry.
     std::optional<Millis> m_quarantineRetryAfter;
     TimePoint m_lastForwardedAt{}; ///< When events were last sent to the client.
--- a/relay/suspect_watch.cpp
+++ b/relay/suspect_watch.cpp
@@ -79,7 +79,7 @@
     DecisionLine("relay",
                  change == SuspectChange::Condemned ? "request condemned" : "request suspected")
         .text("print", toString(fingerprint))
-        .number("ends", static_cast<int64_t>(suspect->second.m_ends.size()))
+        .number("ends", static_cast<int64_t>(suspect->second.m_crashes.size()))
         .number("trials", suspect->second.m_trials)
         .number("suspects", static_cast<int64_t>(m_table.m_suspects.size()))
         .write();
@@ -102,14 +102,14 @@
         .text("print", toString(fingerprint))
         .write();
     forgetOldSuspects(m_table, now);
-    const SuspectChange change = stackquay::noteEnd(
+    const SuspectChange change = stackquay::recordCrash(
         m_table, fingerprint, processName(endpoint.m_id, endpoint.m_startedMs), now);
     if (change == SuspectChange::None)
         return;
     logChange(fingerprint, change);
     const Suspect &suspect = m_table.m_suspects[fingerprint];
     LoadMessage message{ LoadChange::Suspected };
-    message.m_suspects = { { fingerprint, suspect.m_ends, suspect.m_trials, 0 } };
+    message.m_suspects = { { fingerprint, suspect.m_crashes, suspect.m_trials, 0 } };
     broadcast(message);
     if (change != SuspectChange::Condemned)
         return;
@@ -229,15 +229,16 @@
         return;
     LoadMessage message{ LoadChange::Cleared };
     message.m_fingerprints = { fingerprint };
-    message.m_suspects = { { fingerprint, suspect->second.m_ends, 0, 0 } };
+    message.m_suspects = { { fingerprint, suspect->second.m_crashes, 0, 0 } };
     noteCleared(table, fingerprint, {}, Clock::now());
     DecisionLine("relay", "request cleared").text("print", toString(fingerprint)).write();
     m_state->broadcast(std::move(message));
 }
 
-SuspectVerdict SuspectTracker::judge(const Fingerprint &fingerprint, const LoadKey &own) const
+SuspectVerdict SuspectTracker::decideAttempt(const Fingerprint &fingerprint,
+                                             const LoadKey &own) const
 {
-    return stackquay::judge(m_state->m_table, fingerprint, own, Clock::now());
+    return stackquay::decideAttempt(m_state->m_table, fingerprint, own, Clock::now());
 }
 
 void SuspectTracker::beginTry(const Fingerprint &fingerprint, const LoadKey &key, Duration lifetime,
@@ -245,9 +246,9 @@
 {
     const TimePoint now = Clock::now();
     stackquay::beginTry(m_state->m_table, fingerprint, key, now + lifetime, now);
-    const auto attempt = m_state->m_table.m_tries.find(key);
+    const auto attempt = m_state->m_table.m_attempts.find(key);
     // The number of probes must survive an exit of all VMs.
-    if (own && attempt != m_state->m_table.m_tries.end() && attempt->second.m_trial)
+    if (own && attempt != m_state->m_table.m_attempts.end() && attempt->second.m_trial)
         m_state->reportQuarantined(true);
 }
 
@@ -258,8 +259,8 @@
 
 std::optional<Fingerprint> SuspectTracker::suspectOf(const LoadKey &key) const
 {
-    const auto attempt = m_state->m_table.m_tries.find(key);
-    if (attempt == m_state->m_table.m_tries.end())
+    const auto attempt = m_state->m_table.m_attempts.find(key);
+    if (attempt == m_state->m_table.m_attempts.end())
         return std::nullopt;
     return attempt->second.m_print;
 }
@@ -268,15 +269,15 @@
                                                               std::vector<EndpointRecord> pool,
                                                               StreamLedger &ledger) const
 {
-    if (care == SuspectCare::None && m_state->m_table.m_tries.empty())
+    if (care == SuspectCare::None && m_state->m_table.m_attempts.empty())
         return pool;
     std::unordered_set<EndpointId> taken;
-    for (const auto &[key, attempt] : m_state->m_table.m_tries) {
+    for (const auto &[key, attempt] : m_state->m_table.m_attempts) {
         const auto load = ledger.loads().find(key);
         if (load == ledger.loads().end() || load->second.m_parts.empty())
             continue;
         const SuspectCare other = placementOf(m_state->m_table, attempt.m_print);
-        if (care != SuspectCare::None || other == SuspectCare::Alone)
+        if (care != SuspectCare::None || other == SuspectCare::LowLoad)
             taken.insert(load->second.m_parts.front().m_endpoint);
     }
     std::vector<EndpointRecord> free;
@@ -286,7 +287,7 @@
     }
     if (free.empty())
         return pool;
-    if (care != SuspectCare::Alone)
+    if (care != SuspectCare::LowLoad)
         return free;
     return leastLoadedPart(std::move(free), ledger.uses(Clock::now()));
 }
@@ -300,8 +301,8 @@
     }
     bool cleared = false;
     for (const SuspectNews &report : message.m_suspects)
-        cleared =
-            noteCleared(m_state->m_table, report.m_print, report.m_ends, Clock::now()) || cleared;
+        cleared = noteCleared(m_state->m_table, report.m_print, report.m_crashes, Clock::now())
+                  || cleared;
     // VMs of an earlier version send no process exits.
     for (const Fingerprint &fingerprint : message.m_fingerprints)
         cleared = noteCleared(m_state->m_table, fingerprint, {}, Clock::now()) || cleared;
--- a/relay/suspect_watch.h
+++ b/relay/suspect_watch.h
@@ -50,7 +50,7 @@
     /// To be called when the request received a whole successful response.
     void noteCompleted(const Fingerprint &fingerprint);
     /// Decides how an attempt with the key @p own may run.
-    SuspectVerdict judge(const Fingerprint &fingerprint, const LoadKey &own) const;
+    SuspectVerdict decideAttempt(const Fingerprint &fingerprint, const LoadKey &own) const;
     /// Records an attempt of a suspect; @p own: it is an attempt of this VM.
     void beginTry(const Fingerprint &fingerprint, const LoadKey &key, Duration lifetime, bool own);
     void endTry(const LoadKey &key);
--- a/tests/policy/crash_suspects_test.cpp
+++ b/tests/policy/crash_suspects_test.cpp
@@ -14,12 +14,12 @@
 protected:
     SuspectCare care(const Fingerprint &fingerprint, Duration after = {})
     {
-        return judge(m_table, fingerprint, {}, Start + after).m_care;
+        return decideAttempt(m_table, fingerprint, {}, Start + after).m_handling;
     }
 
     void crash(const Fingerprint &fingerprint, uint64_t process, Duration after = {})
     {
-        noteEnd(m_table, fingerprint, process, Start + after);
+        recordCrash(m_table, fingerprint, process, Start + after);
     }
 
     SuspectTable m_table;
@@ -28,19 +28,19 @@
 TEST_F(CrashSuspectsTest, EachCrashRestrictsAttemptsAndTheThirdQuarantines)
 {
     EXPECT_EQ(care(Culprit), SuspectCare::None);
-    EXPECT_EQ(noteEnd(m_table, Culprit, 1, Start), SuspectChange::Known);
+    EXPECT_EQ(recordCrash(m_table, Culprit, 1, Start), SuspectChange::Known);
     EXPECT_EQ(care(Culprit), SuspectCare::Apart);
-    EXPECT_EQ(noteEnd(m_table, Culprit, 2, Start), SuspectChange::Known);
-    EXPECT_EQ(care(Culprit), SuspectCare::Alone);
-    EXPECT_EQ(noteEnd(m_table, Culprit, 3, Start), SuspectChange::Condemned);
+    EXPECT_EQ(recordCrash(m_table, Culprit, 2, Start), SuspectChange::Known);
+    EXPECT_EQ(care(Culprit), SuspectCare::LowLoad);
+    EXPECT_EQ(recordCrash(m_table, Culprit, 3, Start), SuspectChange::Condemned);
     EXPECT_EQ(care(Culprit), SuspectCare::Condemned);
-    EXPECT_EQ(noteEnd(m_table, Culprit, 4, Start), SuspectChange::None);
+    EXPECT_EQ(recordCrash(m_table, Culprit, 4, Start), SuspectChange::None);
 }
 
 TEST_F(CrashSuspectsTest, RepeatedReportsOfOneCrashCountOnce)
 {
-    EXPECT_EQ(noteEnd(m_table, Culprit, 1, Start), SuspectChange::Known);
-    EXPECT_EQ(noteEnd(m_table, Culprit, 1, Start), SuspectChange::None);
+    EXPECT_EQ(recordCrash(m_table, Culprit, 1, Start), SuspectChange::Known);
+    EXPECT_EQ(recordCrash(m_table, Culprit, 1, Start), SuspectChange::None);
     EXPECT_EQ(joinNews(m_table, { Culprit, { 1 }, 0, 50 }, Start), SuspectChange::None);
     EXPECT_EQ(care(Culprit), SuspectCare::Apart);
 }
@@ -52,13 +52,13 @@
     EXPECT_EQ(care(Culprit), SuspectCare::Apart);
     beginTry(m_table, Culprit, { 2, 1 }, Start + Seconds(5), Start);
     EXPECT_EQ(care(Culprit), SuspectCare::Busy);
-    EXPECT_TRUE(judge(m_table, Culprit, { 2, 1 }, Start).mayTry())
+    EXPECT_TRUE(decideAttempt(m_table, Culprit, { 2, 1 }, Start).mayTry())
         << "its own attempt does not count";
     endTry(m_table, { 1, 1 });
     EXPECT_EQ(care(Culprit), SuspectCare::Apart);
     crash(Culprit, 2);
     EXPECT_EQ(care(Culprit), SuspectCare::Busy);
-    EXPECT_EQ(care(Culprit, Seconds(6)), SuspectCare::Alone)
+    EXPECT_EQ(care(Culprit, Seconds(6)), SuspectCare::LowLoad)
         << "an attempt whose end is not reported expires";
 }
 
@@ -84,18 +84,20 @@
     const SuspectSettings &settings = m_table.m_settings;
     for (uint64_t process = 1; process <= 3; ++process)
         crash(Culprit, process);
-    const auto verdict = judge(m_table, Culprit, {}, Start);
+    const auto verdict = decideAttempt(m_table, Culprit, {}, Start);
     EXPECT_EQ(verdict.m_comeBack, settings.m_probeDelay);
     Duration at{};
     for (uint32_t probe = 0; probe < settings.m_maxProbes; ++probe) {
         const Duration wait = settings.m_probeDelay * (1 << probe);
         EXPECT_EQ(care(Culprit, at + wait - Millis(1)), SuspectCare::Condemned);
         at += wait;
-        EXPECT_EQ(care(Culprit, at), SuspectCare::Alone);
+        EXPECT_EQ(care(Culprit, at), SuspectCare::LowLoad);
         const LoadKey key{ 1, probe + 1 };
         beginTry(m_table, Culprit, key, Start + at + Seconds(5), Start + at);
-        EXPECT_FALSE(judge(m_table, Culprit, {}, Start + at).mayTry()) << "one probe at a time";
-        EXPECT_EQ(judge(m_table, Culprit, key, Start + at).m_care, SuspectCare::Alone);
+        EXPECT_FALSE(decideAttempt(m_table, Culprit, {}, Start + at).mayTry())
+            << "one probe at a time";
+        EXPECT_EQ(decideAttempt(m_table, Culprit, key, Start + at).m_handling,
+                  SuspectCare::LowLoad);
         endTry(m_table, key);
     }
     EXPECT_EQ(care(Culprit, at + Seconds(20'000)), SuspectCare::Condemned) << "no probe is left";
@@ -105,8 +107,8 @@
 TEST_F(CrashSuspectsTest, ReportsMergeInAnyOrder)
 {
     SuspectTable other;
-    noteEnd(other, Culprit, 1, Start);
-    noteEnd(other, Culprit, 2, Start);
+    recordCrash(other, Culprit, 1, Start);
+    recordCrash(other, Culprit, 2, Start);
     crash(Culprit, 3);
     const auto news = newsOf(other, 10, Start + Millis(40));
     ASSERT_EQ(news.size(), 1u);
@@ -139,7 +141,7 @@
     EXPECT_TRUE(noteCleared(m_table, Culprit, {}, Start));
     EXPECT_FALSE(noteCleared(m_table, Culprit, { 1 }, Start));
     EXPECT_EQ(joinNews(m_table, { Culprit, { 1 }, 0, 50 }, Start), SuspectChange::None);
-    EXPECT_EQ(noteEnd(m_table, Culprit, 1, Start), SuspectChange::None);
+    EXPECT_EQ(recordCrash(m_table, Culprit, 1, Start), SuspectChange::None);
     EXPECT_TRUE(m_table.empty());
     // A new crash counts; the cleared one does not.
     EXPECT_EQ(joinNews(m_table, { Culprit, { 1, 2 }, 0, 50 }, Start), SuspectChange::Known);
@@ -163,7 +165,8 @@
                              { 2 * most - 1 }, Start + Seconds(60)));
     for (uint64_t process = 0; process < 2 * most; ++process)
         noteCleared(m_table, Culprit, { process }, Start + Seconds(61));
-    EXPECT_LE(m_table.m_cleared.at(Culprit).m_ends.size(), m_table.m_settings.m_maxClearedCrashes);
+    EXPECT_LE(m_table.m_cleared.at(Culprit).m_crashes.size(),
+              m_table.m_settings.m_maxClearedCrashes);
     EXPECT_EQ(joinNews(m_table, { Culprit, { 2 * most - 1 }, 0, 0 }, Start + Seconds(61)),
               SuspectChange::None)
         << "the latest are kept";
--- a/tests/relay/condemned_record_test.cpp
+++ b/tests/relay/condemned_record_test.cpp
@@ -14,7 +14,7 @@
     ASSERT_TRUE(read);
     ASSERT_EQ(read->size(), 1u);
     EXPECT_EQ(read->front().m_print, First.m_print);
-    EXPECT_EQ(read->front().m_ends, First.m_ends);
+    EXPECT_EQ(read->front().m_crashes, First.m_crashes);
     EXPECT_EQ(read->front().m_ageMs, 7'500u);
 }
 
