--- a/policy/endpoint_directory.cpp
+++ b/policy/endpoint_directory.cpp
@@ -15,14 +15,14 @@
         if (isEarlierProcess(own, endpoint))
             endpoint = own.m_endpoints.at(id);
     }
-    if (!offered.m_whole) {
+    if (!offered.m_complete) {
         for (const auto &[id, endpoint] : own.m_endpoints) {
             if (offered.m_unreadable.count(id) == 0
                 && joined.m_endpoints.emplace(id, endpoint).second)
                 joined.m_doubtful.insert(id);
         }
         // The result is complete if the own snapshot was, since missing endpoints were kept.
-        joined.m_whole = own.m_whole && own.m_position.known();
+        joined.m_complete = own.m_complete && own.m_position.known();
     }
     own = std::move(joined);
     noteSure(own);
@@ -32,7 +32,7 @@
 bool dropUnconfirmed(EndpointDirectory &own, const EndpointDirectory &offered)
 {
     // An older snapshot may have been taken before the endpoint was registered.
-    if (!offered.m_whole || offered.m_position < own.m_surePosition)
+    if (!offered.m_complete || offered.m_position < own.m_surePosition)
         return false;
     const size_t dropped = std::erase_if(own.m_doubtful, [&](const EndpointId &id) {
         return offered.m_endpoints.count(id) == 0 && own.m_endpoints.erase(id) > 0;
@@ -62,7 +62,7 @@
 
 void noteSure(EndpointDirectory &directory)
 {
-    if (directory.sure())
+    if (directory.isConfirmed())
         directory.m_surePosition = directory.m_position;
 }
 
--- a/policy/endpoint_directory.h
+++ b/policy/endpoint_directory.h
@@ -42,11 +42,11 @@
     std::unordered_set<EndpointId> m_unreadable;
     /// The snapshot is complete: no live endpoint is missing. False for a while after the first
     /// listing, as the store may have lost entries in an earlier outage.
-    bool m_whole = true;
-    StorePosition m_surePosition; ///< Last position at which sure() held.
+    bool m_complete = true;
+    StorePosition m_surePosition; ///< Last position at which isConfirmed() held.
 
     /// Whether the snapshot is complete and has no unconfirmed endpoints.
-    bool sure() const { return m_whole && m_doubtful.empty(); }
+    bool isConfirmed() const { return m_complete && m_doubtful.empty(); }
 };
 
 /// Whether @p directory has a later process under the id of @p record.
@@ -56,7 +56,7 @@
 std::vector<EndpointRecord> restartedSince(const EndpointDirectory &before,
                                            const EndpointDirectory &now);
 
-/// Records the current position as m_surePosition if sure(). Call after each change of the
+/// Records the current position as m_surePosition if isConfirmed(). Call after each change of the
 /// position.
 void noteSure(EndpointDirectory &directory);
 
--- a/relay/fleet_messages.h
+++ b/relay/fleet_messages.h
@@ -55,11 +55,11 @@
     std::vector<EndpointId> m_doubtful; ///< Those of m_endpoints that are unconfirmed.
     /// Endpoints whose entries cannot be decoded; not in m_endpoints.
     std::vector<EndpointId> m_unreadable;
-    bool m_whole = false; ///< The list is complete.
+    bool m_complete = false; ///< The list is complete.
     std::vector<SuspectNews> m_quarantined; ///< A new VM needs these before it becomes ready.
 
     MSGPACK_DEFINE(m_summary, m_routesSpec, m_hasEndpoints, m_endpoints, m_doubtful, m_unreadable,
-                   m_whole, m_quarantined)
+                   m_complete, m_quarantined)
 };
 
 struct StateRequest {
--- a/relay/relay_daemon.cpp
+++ b/relay/relay_daemon.cpp
@@ -258,7 +258,7 @@
     own.m_era = m_era;
     if (view->m_directory) {
         own.m_directory = view->m_directory->m_position;
-        own.m_directoryConfirmed = view->m_directory->sure();
+        own.m_directoryConfirmed = view->m_directory->isConfirmed();
         own.m_lastConfirmed = view->m_directory->m_surePosition;
     }
     own.m_reachesStore = m_follower->reachesStore();
@@ -303,7 +303,7 @@
     state.m_doubtful.assign(doubtful.begin(), doubtful.end());
     const auto &unreadable = view->m_directory->m_unreadable;
     state.m_unreadable.assign(unreadable.begin(), unreadable.end());
-    state.m_whole = view->m_directory->m_whole;
+    state.m_complete = view->m_directory->m_complete;
     return state;
 }
 
@@ -366,7 +366,7 @@
         return;
     EndpointDirectory directory;
     directory.m_position = summary.m_directory;
-    directory.m_whole = state.m_whole;
+    directory.m_complete = state.m_complete;
     directory.m_doubtful.insert(state.m_doubtful.begin(), state.m_doubtful.end());
     directory.m_unreadable.insert(state.m_unreadable.begin(), state.m_unreadable.end());
     for (const EndpointRecord &endpoint : state.m_endpoints)
--- a/relay/store_follower.cpp
+++ b/relay/store_follower.cpp
@@ -539,8 +539,8 @@
     }
     // A VM that has watched the store for the whole time has a complete directory.
     const bool followed = m_watching && m_failingSince == TimePoint{} && !inRecoveryGrace(now);
-    if (!m_directory.m_whole && m_directory.m_position.known() && followed) {
-        m_directory.m_whole = true;
+    if (!m_directory.m_complete && m_directory.m_position.known() && followed) {
+        m_directory.m_complete = true;
         changed = true;
     }
     if (changed)
@@ -563,7 +563,7 @@
     noteAnswer();
     if (!m_directory.m_position.known()) {
         m_recoveredAt = Clock::now();
-        m_directory.m_whole = false;
+        m_directory.m_complete = false;
     }
     forgetOldProcesses();
     std::unordered_set<EndpointId> listed;
--- a/tests/policy/endpoint_directory_test.cpp
+++ b/tests/policy/endpoint_directory_test.cpp
@@ -42,7 +42,7 @@
     EXPECT_FALSE(joinDirectory(own, directory(9, { "b" }))); // May predate "a".
     EXPECT_TRUE(joinDirectory(own, directory(15, { "b" })));
     EXPECT_FALSE(has(own, "a"));
-    EXPECT_TRUE(own.sure());
+    EXPECT_TRUE(own.isConfirmed());
     EXPECT_EQ(own.m_surePosition.m_revision, 20u);
 }
 
@@ -50,20 +50,20 @@
 {
     EndpointDirectory own = directory(20, { "a", "b" }, { "a" });
     EndpointDirectory started = directory(20, { "b" });
-    started.m_whole = false;
+    started.m_complete = false;
     EXPECT_FALSE(joinDirectory(own, started));
     EXPECT_TRUE(has(own, "a"));
     started.m_position = { 1, 21 };
     EXPECT_TRUE(joinDirectory(own, started));
     EXPECT_TRUE(has(own, "a"));
-    EXPECT_FALSE(own.sure());
+    EXPECT_FALSE(own.isConfirmed());
 }
 
 TEST(EndpointDirectoryTest, MergeTakesOverUnconfirmedEndpoints)
 {
     EndpointDirectory own = directory(5, { "a", "b" });
     EXPECT_TRUE(joinDirectory(own, directory(20, { "a", "b" }, { "a" })));
-    EXPECT_FALSE(own.sure());
+    EXPECT_FALSE(own.isConfirmed());
     EXPECT_EQ(own.m_surePosition.m_revision, 0u); // Not recorded for revision 5.
 }
 
@@ -71,9 +71,9 @@
 {
     EndpointDirectory own;
     EndpointDirectory started = directory(3, { "a" });
-    started.m_whole = false;
+    started.m_complete = false;
     EXPECT_TRUE(joinDirectory(own, started));
-    EXPECT_FALSE(own.m_whole);
+    EXPECT_FALSE(own.m_complete);
 }
 
 // A store that was restored from a backup assigns revisions again.
@@ -103,7 +103,7 @@
 {
     EndpointDirectory own = directory(5, { "a", "b", "c" });
     EndpointDirectory offered = directory(6, { "a" });
-    offered.m_whole = false;
+    offered.m_complete = false;
     offered.m_unreadable.insert(EndpointId("b"));
     EXPECT_TRUE(joinDirectory(own, offered));
     EXPECT_FALSE(has(own, "b"));
