--- a/policy/choose_endpoint.cpp
+++ b/policy/choose_endpoint.cpp
@@ -168,7 +168,7 @@
 bool noteFailure(EndpointHealth &health, TimePoint now, const EjectionSettings &settings)
 {
     ++health.m_failures;
-    if (health.m_failures < settings.m_failures && !isOnProbation(health, now))
+    if (health.m_failures < settings.m_maxFailures && !isOnProbation(health, now))
         return false;
     eject(health, now, settings);
     return true;
--- a/policy/choose_endpoint.h
+++ b/policy/choose_endpoint.h
@@ -35,7 +35,7 @@
 };
 
 struct EjectionSettings {
-    uint32_t m_failures = 3; ///< Consecutive failures that eject an endpoint.
+    uint32_t m_maxFailures = 3; ///< Consecutive failures that eject an endpoint.
     Millis m_base{ 2'000 }; ///< First ejection; doubled by each further one without a success.
     Millis m_max{ 60'000 }; ///< Longest ejection.
 };
