--- a/policy/turn_plan.cpp
+++ b/policy/turn_plan.cpp
@@ -10,7 +10,7 @@
                  const WaitingTurn &queued, const GangPlan &plan, TimePoint now)
 {
     // A strict stream waits only for a slot, and a retry is sent even if it will be late.
-    return request.strict() || request.m_repeat
+    return request.strict() || request.m_isRetry
            || isInTime(queued, plan.m_firstEvent * settings.m_predictionMargin, now);
 }
 
@@ -46,7 +46,7 @@
 bool cannotWaitLonger(const ModelRequest &request, const WaitingTurn &queued, TimePoint now)
 {
     // A retry usually misses its latency target, so only the caller's patience limits it.
-    return request.m_repeat ? now >= queued.m_expiresAt : isTooLate(queued, now);
+    return request.m_isRetry ? now >= queued.m_expiresAt : isTooLate(queued, now);
 }
 
 } // namespace
@@ -69,7 +69,7 @@
     const Duration needed = part(toBegin, 1);
     WaitingTurn queued;
     queued.m_aimAt = request.m_arrival + request.m_latencyTarget;
-    queued.m_needed = needed;
+    queued.m_minTimeToFirstEvent = needed;
     queued.m_expiresAt =
         request.m_arrival
         + std::min(part(request.m_patience, settings.m_patienceShare),
@@ -83,7 +83,7 @@
     const Duration reading =
         part(toBegin - settings.m_prefillOverhead, settings.m_prefillLeadShare);
     queued.m_aimAt += past;
-    queued.m_needed = std::max(needed, request.m_latencyTarget - wait);
+    queued.m_minTimeToFirstEvent = std::max(needed, request.m_latencyTarget - wait);
     // The order in the queue depends on the latency target of the route and the prefill time.
     queued.m_lead = past + std::max(reading, Duration::zero());
     return queued;
@@ -105,7 +105,7 @@
                     const ActivePrefills &prefills, bool strict)
 {
     SideLoad load;
-    load.m_reading = prefills;
+    load.m_activePrefills = prefills;
     load.m_engines = strict ? strictSide.size() : pool.size() - strictSide.size();
     load.m_engines = std::max<size_t>(load.m_engines, 1);
     load.m_slots = static_cast<uint32_t>(load.m_engines) * costs.m_slots;
@@ -132,8 +132,8 @@
     return mayStartNow(queue, key, roomOf(settings, load, strict), now);
 }
 
-GangSides divide(const std::vector<EndpointRecord> &pool,
-                 const std::unordered_set<EndpointId> &strictSide, bool strict)
+GangSides splitPool(const std::vector<EndpointRecord> &pool,
+                    const std::unordered_set<EndpointId> &strictSide, bool strict)
 {
     GangSides sides;
     for (const EndpointRecord &endpoint : pool) {
--- a/policy/turn_plan.h
+++ b/policy/turn_plan.h
@@ -24,7 +24,7 @@
     Duration m_patience{}; ///< Silence after which its caller gives up.
     TimePoint m_arrival{};
     TimePoint m_deadline{};
-    bool m_repeat = false; ///< A retry: it was sent to an endpoint before.
+    bool m_isRetry = false; ///< A retry: it was sent to an endpoint before.
 
     /// Whether its stream is strict, see isStrictGap().
     bool strict() const { return isStrictGap(m_gapLimitMs); }
@@ -56,8 +56,8 @@
 
 /// Splits @p pool into the engines of the request's own side and the others. @p strict is whether
 /// the request has a strict stream.
-GangSides divide(const std::vector<EndpointRecord> &pool,
-                 const std::unordered_set<EndpointId> &strictSide, bool strict);
+GangSides splitPool(const std::vector<EndpointRecord> &pool,
+                    const std::unordered_set<EndpointId> &strictSide, bool strict);
 
 /// The inputs of planGang() for @p request, without m_rooms.
 GangQuestion questionOf(const EngineCosts &costs, const ModelRequest &request,
--- a/policy/turn_queue.cpp
+++ b/policy/turn_queue.cpp
@@ -18,7 +18,7 @@
 
 FloatMillis backlogPerEngine(const SideLoad &load)
 {
-    return FloatMillis(load.m_reading.m_readMs) / static_cast<double>(load.m_engines);
+    return FloatMillis(load.m_activePrefills.m_readMs) / static_cast<double>(load.m_engines);
 }
 
 /// Backlog of an engine below which further prompts may start.
@@ -58,7 +58,7 @@
 
 bool isTooLate(const WaitingTurn &queued, TimePoint now)
 {
-    return now + queued.m_needed > queued.m_aimAt;
+    return now + queued.m_minTimeToFirstEvent > queued.m_aimAt;
 }
 
 FloatMillis longPromptFirstEvent(const TurnSettings &settings, const EngineCosts &costs,
@@ -78,8 +78,8 @@
 
 uint32_t prefillsAllowed(const TurnSettings &settings, const SideLoad &load)
 {
-    if (load.m_reading.m_prompts < settings.m_leastReading)
-        return settings.m_leastReading - load.m_reading.m_prompts;
+    if (load.m_activePrefills.m_prompts < settings.m_leastReading)
+        return settings.m_leastReading - load.m_activePrefills.m_prompts;
     return backlogPerEngine(load) < maxBacklogPerEngine(settings, load) ? 1 : 0;
 }
 
--- a/policy/turn_queue.h
+++ b/policy/turn_queue.h
@@ -24,7 +24,7 @@
 /// A waiting request, as all VMs see it.
 struct WaitingTurn {
     TimePoint m_aimAt{}; ///< Latest time of a first event that is in time.
-    Duration m_needed{}; ///< Minimum time from the start to the first event.
+    Duration m_minTimeToFirstEvent{}; ///< Minimum time from the start to the first event.
     TimePoint m_expiresAt{}; ///< Dropped from the queue then if its end was not reported.
     Duration m_lead{}; ///< The queue is ordered by m_aimAt minus this.
 };
@@ -99,7 +99,7 @@
     uint32_t m_strictStreams = 0; ///< On the engines that are assigned to strict streams.
     uint32_t m_slots = 0; ///< Of all engines of the side.
     size_t m_engines = 1; ///< At least one.
-    ActivePrefills m_reading; ///< Long prompts of the whole pool.
+    ActivePrefills m_activePrefills; ///< Long prompts of the whole pool.
 };
 
 /// Expected time from the start to the first event, for a long prompt of @p tokens that had to wait
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -27,7 +27,7 @@
     message.m_gapLimitMs = gapLimitMs;
     message.m_expiresMs = millisOf(turn.m_expiresAt - now);
     message.m_aimMs = millisOf(turn.m_aimAt - now);
-    message.m_neededMs = millisOf(turn.m_needed);
+    message.m_neededMs = millisOf(turn.m_minTimeToFirstEvent);
     message.m_leadMs = millisOf(turn.m_lead);
     return message;
 }
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -72,7 +72,7 @@
     question.m_rooms.m_draw = [this] {
         return std::uniform_real_distribution<double>(0, 1)(m_node.m_random);
     };
-    return planGang(m_node.m_gang, costs, divide(pool, seen.m_strictSide, request.strict()),
+    return planGang(m_node.m_gang, costs, splitPool(pool, seen.m_strictSide, request.strict()),
                     seen.m_uses, question);
 }
 
@@ -90,7 +90,7 @@
     request.m_patience = clientPatience();
     request.m_arrival = m_arrival;
     request.m_deadline = m_deadline;
-    request.m_repeat = m_sentAttempts > 0;
+    request.m_isRetry = m_sentAttempts > 0;
     return request;
 }
 
@@ -204,13 +204,13 @@
         .text("why", m_failureReason)
         .number("tokens", static_cast<int64_t>(m_head.m_promptTokens))
         .number("wait_ms", std::chrono::duration_cast<Millis>(now - m_arrival).count())
-        .number("needed_ms", std::chrono::duration_cast<Millis>(turn.m_needed).count())
+        .number("needed_ms", std::chrono::duration_cast<Millis>(turn.m_minTimeToFirstEvent).count())
         .number("ahead", aheadOf(queue, m_loadKey, now))
         .number("waiting", static_cast<int64_t>(queue.size()))
         .number("room", roomOf(m_node.m_turns, load, isStrictGap(gapLimitMs())))
         .number("engines", static_cast<int64_t>(load.m_engines))
-        .number("reading", load.m_reading.m_prompts)
-        .number("read_ms", static_cast<int64_t>(load.m_reading.m_readMs))
+        .number("reading", load.m_activePrefills.m_prompts)
+        .number("read_ms", static_cast<int64_t>(load.m_activePrefills.m_readMs))
         .write();
 }
 
--- a/tests/platform/join_test.cpp
+++ b/tests/platform/join_test.cpp
@@ -155,7 +155,7 @@
         EXPECT_EQ(later.at(EndpointId("i-engine-0")).m_attempts, gangs);
         ASSERT_EQ(node.m_longQueue.size(), 1u);
         const WaitingTurn &turn = node.m_longQueue.begin()->second;
-        EXPECT_EQ(turn.m_needed, Duration(Millis(700)));
+        EXPECT_EQ(turn.m_minTimeToFirstEvent, Duration(Millis(700)));
         EXPECT_LT(turn.m_aimAt, now + Millis(4'700));
         EXPECT_GT(turn.m_aimAt, now + Millis(3'000));
     });
--- a/tests/policy/gang_plan_test.cpp
+++ b/tests/policy/gang_plan_test.cpp
@@ -409,7 +409,7 @@
     const TurnSettings settings;
     SideLoad load;
     load.m_engines = 10;
-    load.m_reading = { settings.m_leastReading, 8'000 };
+    load.m_activePrefills = { settings.m_leastReading, 8'000 };
     load.m_longestAim = Seconds(2);
     EXPECT_EQ(prefillsAllowed(settings, load), 0u);
     load.m_longestAim = Seconds(4);
@@ -518,13 +518,13 @@
     load.m_longestAim = Seconds(3);
     load.m_engines = 4;
     load.m_slots = 64;
-    load.m_reading = { settings.m_leastReading - 1, 10'000 };
+    load.m_activePrefills = { settings.m_leastReading - 1, 10'000 };
     EXPECT_EQ(prefillsAllowed(settings, load), 1u);
-    load.m_reading = { settings.m_leastReading, 10'000 };
+    load.m_activePrefills = { settings.m_leastReading, 10'000 };
     EXPECT_EQ(prefillsAllowed(settings, load), 0u);
-    load.m_reading = { settings.m_leastReading, 100 };
+    load.m_activePrefills = { settings.m_leastReading, 100 };
     EXPECT_EQ(prefillsAllowed(settings, load), 1u);
-    load.m_reading = { 0, 0 };
+    load.m_activePrefills = { 0, 0 };
     EXPECT_EQ(prefillsAllowed(settings, load), settings.m_leastReading);
     load.m_strictStreams = 60;
     EXPECT_EQ(strictStreamsAllowed(settings, load), 1u);
@@ -543,10 +543,10 @@
     SideLoad load;
     load.m_longestAim = Seconds(3);
     load.m_engines = 48;
-    load.m_reading = { 7, 7 * read };
+    load.m_activePrefills = { 7, 7 * read };
     EXPECT_GE(prefillsAllowed(settings, load), 1u);
     load.m_engines = 12;
-    load.m_reading = { 5, 5 * read };
+    load.m_activePrefills = { 5, 5 * read };
     EXPECT_EQ(prefillsAllowed(settings, load), 0u);
 }
 
--- a/tests/policy/pool_sim.cpp
+++ b/tests/policy/pool_sim.cpp
@@ -225,7 +225,7 @@
         view->m_side = sideLoadOf(m_load.m_costs, m_pool, strictSide, view->m_uses,
                                   m_ledger.readingLong(), strict);
         view->m_side.m_longestAim = longestAim();
-        view->m_sides = divide(m_pool, strictSide, strict);
+        view->m_sides = splitPool(m_pool, strictSide, strict);
         return *view;
     }
 
