--- a/policy/stream_ledger.cpp
+++ b/policy/stream_ledger.cpp
@@ -76,7 +76,7 @@
 {
     const auto found = m_loads.find(key);
     if (found != m_loads.end())
-        found->second.m_writing = true;
+        found->second.m_decoding = true;
 }
 
 bool StreamLedger::end(const LoadKey &key)
@@ -114,7 +114,7 @@
 {
     ActivePrefills reading;
     for (const auto &[key, load] : m_loads) {
-        if (load.m_writing || load.strict())
+        if (load.m_decoding || load.strict())
             continue;
         double readMs = 0;
         for (const LoadPart &part : load.m_parts)
@@ -136,7 +136,7 @@
             const LoadPart &part = load.m_parts[i];
             EndpointUse &use = uses[part.m_endpoint];
             use.m_tokens += part.m_tokens;
-            if (!load.m_writing)
+            if (!load.m_decoding)
                 prefills[part.m_endpoint].push_back(
                     { load.m_placedAt, part.m_readMs, !load.strict() });
             if (i > 0)
@@ -145,7 +145,7 @@
             if (load.m_gapLimitMs > 0
                 && (use.m_minGapLimitMs == 0 || load.m_gapLimitMs < use.m_minGapLimitMs))
                 use.m_minGapLimitMs = load.m_gapLimitMs;
-            if (load.m_writing)
+            if (load.m_decoding)
                 ++use.m_decodingStreams;
             if (load.strict())
                 ++use.m_strictAttempts;
--- a/policy/stream_ledger.h
+++ b/policy/stream_ledger.h
@@ -49,7 +49,7 @@
 struct AttemptLoad {
     std::vector<LoadPart> m_parts; ///< The first one is at the endpoint that answers.
     uint32_t m_gapLimitMs = 0; ///< Longest tolerated gap between events; 0: no limit.
-    bool m_writing = false; ///< Its first event came, so its prefill is complete.
+    bool m_decoding = false; ///< Its first event came, so its prefill is complete.
     TimePoint m_placedAt{};
     TimePoint m_expiresAt{}; ///< Dropped then if its end was not reported.
 
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -83,7 +83,7 @@
     message.m_gapLimitMs = load.m_gapLimitMs;
     message.m_expiresMs = millisOf(load.m_expiresAt - now);
     message.m_ageMs = millisOf(now - load.m_placedAt);
-    message.m_writing = load.m_writing;
+    message.m_writing = load.m_decoding;
     if (const auto suspect = m_suspects.suspectOf(key))
         message.m_fingerprints = { *suspect };
     return message;
--- a/tests/platform/join_test.cpp
+++ b/tests/platform/join_test.cpp
@@ -58,7 +58,7 @@
         onTraffic(index, [&known](RelayNode &node) {
             for (const auto &[key, load] : node.m_ledger.loads())
                 known.m_loads[{ key.m_origin, key.m_sequence }] = { load.m_parts, load.m_gapLimitMs,
-                                                                    load.m_writing };
+                                                                    load.m_decoding };
             known.m_waiting = node.m_strictQueue.size() + node.m_longQueue.size();
         });
         return known;
