--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -99,7 +99,7 @@
     return m_strictQueue.erase(key) + m_longQueue.erase(key) > 0;
 }
 
-void RelayNode::wait(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn)
+void RelayNode::announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn)
 {
     m_loads.send(waitingMessage(key, gapLimitMs, turn, Clock::now()));
     queueOf(gapLimitMs)[key] = turn;
--- a/relay/relay_node.h
+++ b/relay/relay_node.h
@@ -54,7 +54,7 @@
     LoadKey nextKey() { return { m_origin, ++m_sequence }; }
     TurnQueue &queueOf(uint32_t gapLimitMs);
     /// Announces to all VMs that a request waits in a queue, until place() or end().
-    void wait(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn);
+    void announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn);
     /// Enters an attempt into the ledgers of all VMs; @p suspect is the request's fingerprint if it
     /// is a suspect. @p lifetime bounds the ledger entry.
     void place(const LoadKey &key, std::vector<LoadPart> parts, uint32_t gapLimitMs,
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -184,7 +184,7 @@
             }
         }
         if (!announced)
-            m_node.wait(m_loadKey, gapLimitMs(), turn);
+            m_node.announceWaiting(m_loadKey, gapLimitMs(), turn);
         announced = true;
         if (cannotFinish || !sleepFor(m_node.m_thread.context(), TurnPoll) || m_clientDisconnected
             || remainingTime() <= TurnPoll) {
--- a/tests/platform/join_test.cpp
+++ b/tests/platform/join_test.cpp
@@ -133,8 +133,10 @@
     place(0, 1, Millis(1'500));
     onTraffic(0, [](RelayNode &node) {
         const TimePoint now = Clock::now();
-        node.wait(node.nextKey(), 1'000, { now + Seconds(5), Millis(700), now + Seconds(10) });
-        node.wait(node.nextKey(), 100, { now + Seconds(1), Millis(100), now + Seconds(10) });
+        node.announceWaiting(node.nextKey(), 1'000,
+                             { now + Seconds(5), Millis(700), now + Seconds(10) });
+        node.announceWaiting(node.nextKey(), 100,
+                             { now + Seconds(1), Millis(100), now + Seconds(10) });
     });
     std::this_thread::sleep_for(Millis(400));
     m_deployment->addDaemon();
