--- a/relay/dialect.h
+++ b/relay/dialect.h
@@ -31,7 +31,7 @@
 struct AttemptHead {
     /// The process at the address rejects the request if it is another endpoint.
     EndpointId m_endpoint;
-    Millis m_left{ 0 }; ///< Time left for the attempt.
+    Millis m_remaining{ 0 }; ///< Time left for the attempt.
     CustomerId m_customer; ///< Empty: the route requires no key.
     std::vector<HelperRef> m_helpers;
     std::optional<uint64_t> m_lastEvent; ///< Resume the stream after this event id.
--- a/relay/fleet_link.cpp
+++ b/relay/fleet_link.cpp
@@ -453,7 +453,7 @@
 
 bool FleetLink::State::writeObject()
 {
-    const Json spec = { { "beats", toString(m_settings.m_beats) },
+    const Json spec = { { "beats", toString(m_settings.m_heartbeats) },
                         { "loads", toString(m_settings.m_loads) },
                         { "data_centre", m_settings.m_dataCentre.str() } };
     const KindObject object{ m_settings.m_vm.str(), {}, spec.dump() };
@@ -507,7 +507,7 @@
         if (!beats)
             continue;
         const auto address = parseAddress(*beats);
-        if (!address || *address == m_settings.m_beats)
+        if (!address || *address == m_settings.m_heartbeats)
             continue;
         if (stringField(*spec, "data_centre") == m_settings.m_dataCentre.str()) {
             hasLocalPeers = true;
@@ -586,11 +586,11 @@
     State *state = m_state.get();
     state->m_settings.m_loads = loads;
     const auto beats = state->m_socket.listen(
-        state->m_settings.m_beats,
+        state->m_settings.m_heartbeats,
         [state](const Address &from, std::string_view bytes) { state->receive(from, bytes); });
     if (!beats)
         return tl::unexpected(beats.error());
-    state->m_settings.m_beats = *beats;
+    state->m_settings.m_heartbeats = *beats;
     state->m_server.handle<StateRequest>(
         [state](const StateRequest &request) -> Result<StateSnapshot> {
             return state->m_hooks.m_answerRequest(request);
--- a/relay/memory_tickets.cpp
+++ b/relay/memory_tickets.cpp
@@ -39,7 +39,7 @@
 
 Millis holdDuration(const RelayBounds &bounds)
 {
-    const auto hold = std::chrono::duration_cast<Millis>(bounds.m_freeMemory * HoldShare);
+    const auto hold = std::chrono::duration_cast<Millis>(bounds.m_memoryReleaseTime * HoldShare);
     return std::min(hold, bounds.m_longestHold);
 }
 
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -95,7 +95,7 @@
     const HttpRequest &request = m_exchange.request();
     AttemptHead head;
     head.m_endpoint = plan.m_members.front().m_endpoint.m_id;
-    head.m_left = std::chrono::duration_cast<Millis>(remainingTime());
+    head.m_remaining = std::chrono::duration_cast<Millis>(remainingTime());
     head.m_customer = m_customer;
     head.m_lastEvent = m_lastEvent;
     if (m_service && m_service->m_engine)
@@ -119,7 +119,7 @@
     const bool holdsMemory = std::any_of(plan.m_members.begin(), plan.m_members.end(),
                                          [](const GangMember &member) { return member.m_reserve; });
     const bool proved = atMostOnce() || m_sentAttempts > 0 || holdsMemory;
-    const Duration justUsed = m_node.m_settings.m_bounds.m_contact / JustUsedShare;
+    const Duration justUsed = m_node.m_settings.m_bounds.m_recoveryTime / JustUsedShare;
     auto connection =
         m_node.m_pool.acquire(*address, std::min<Duration>(remainingTime(), ConnectTimeout), false,
                               proved ? justUsed : Duration::max());
--- a/relay/relay_daemon.cpp
+++ b/relay/relay_daemon.cpp
@@ -66,7 +66,7 @@
     server.m_connections = settings.m_connections;
     // Clients are far away, and no request waits for a new connection of theirs, so two probes may
     // be lost.
-    server.m_silence = { settings.m_bounds.m_contact, true };
+    server.m_silence = { settings.m_bounds.m_recoveryTime, true };
     return server;
 }
 
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -145,7 +145,7 @@
     if (m_route->m_public || !routes.m_hasCustomers)
         return true;
     const RelayBounds &bounds = m_view->m_bounds;
-    const Duration bound = bounds.m_revoke - FreshnessMargin;
+    const Duration bound = bounds.m_revocationTime - FreshnessMargin;
     if (bounds.m_strictKeys && !freshEnough(m_view->m_proof, routes.m_version, bound, m_arrival)) {
         refuse(StatusUnavailable, "keys cannot be checked: the configuration may be old",
                RetryAfterStart);
--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -9,14 +9,18 @@
 struct RelayBounds {
     bool m_strictKeys = true; ///< Reject keys if their revocation cannot be checked in time.
     /// Time until a revoked key stops working, from the store's acknowledgement.
-    Millis m_revoke{ 5'000 };
+    Millis m_revocationTime{ 5'000 };
     double m_retryRatio = 0.1;
     double m_retrySlack = 10;
     Seconds m_retryWindow{ 10 };
     Seconds m_grace{ 8 }; ///< Time from SIGTERM to SIGKILL.
-    Millis m_contact{ 3'000 }; ///< Time within which service has to recover after a disturbance.
+    Millis m_recoveryTime{
+        3'000
+    }; ///< Time within which service has to recover after a disturbance.
     Millis m_longestHold{ 20'000 }; ///< Maximum hold time of a memory reservation.
-    Millis m_freeMemory{ 4'000 }; ///< Time within which memory must be free after its last use.
+    Millis m_memoryReleaseTime{
+        4'000
+    }; ///< Time within which memory must be free after its last use.
 
     bool operator==(const RelayBounds &) const = default;
 };
@@ -27,7 +31,7 @@
 inline Millis silenceTimeout(const RelayBounds &bounds)
 {
     constexpr int Share = 4;
-    return bounds.m_contact / Share;
+    return bounds.m_recoveryTime / Share;
 }
 
 struct RelaySettings {
@@ -36,7 +40,7 @@
     Address m_clients; ///< Listening address for clients.
     Address m_ready; ///< Listening address for readiness checks and metrics.
     Address m_peerCalls; ///< RPC between VMs, TCP.
-    Address m_beats; ///< Heartbeats between VMs, UDP.
+    Address m_heartbeats; ///< Heartbeats between VMs, UDP.
     Address m_loads; ///< Load messages between VMs, UDP.
     Address m_store;
     uint32_t m_connections = 1'000; ///< Maximum number of client connections.
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -31,8 +31,8 @@
     EXPECT_EQ(toString(settings->m_loads), "10.1.0.40:7341");
     EXPECT_EQ(toString(settings->m_store), "10.200.1.7:8223");
     EXPECT_EQ(settings->m_connections, 2'000u);
-    EXPECT_EQ(settings->m_bounds.m_revoke, Millis(5'000));
-    EXPECT_EQ(settings->m_bounds.m_contact, Millis(2'400));
+    EXPECT_EQ(settings->m_bounds.m_revocationTime, Millis(5'000));
+    EXPECT_EQ(settings->m_bounds.m_recoveryTime, Millis(2'400));
     EXPECT_DOUBLE_EQ(settings->m_bounds.m_retrySlack, 100);
 }
 
@@ -92,7 +92,7 @@
     request.m_endToEnd = { { "X-Model", "m" } };
     AttemptHead attempt;
     attempt.m_endpoint = EndpointId("i-1");
-    attempt.m_left = Millis(700);
+    attempt.m_remaining = Millis(700);
     attempt.m_customer = CustomerId("one");
     attempt.m_helpers = { { "10.2.64.3:8080", "t81" }, { "10.2.64.5:8080", "" } };
     attempt.m_lastEvent = 4;
--- a/tests/platform/crash_test.cpp
+++ b/tests/platform/crash_test.cpp
@@ -187,7 +187,7 @@
     start(3);
     constexpr size_t MostEnds = 3;
     constexpr ptrdiff_t MostRetries = 3;
-    const Duration contact = m_deployment.m_bounds.m_contact;
+    const Duration contact = m_deployment.m_bounds.m_recoveryTime;
     repeatCrash(contact + Seconds(3));
     const auto ended = ends();
     ASSERT_GE(ended.size(), MostEnds);
@@ -201,9 +201,9 @@
 {
     start(3);
     auto crashes = std::async(std::launch::async,
-                              [this] { repeatCrash(m_deployment.m_bounds.m_contact * 2); });
+                              [this] { repeatCrash(m_deployment.m_bounds.m_recoveryTime * 2); });
     std::vector<std::future<ClientAnswer>> answers;
-    const TimePoint calmFrom = Clock::now() + m_deployment.m_bounds.m_contact;
+    const TimePoint calmFrom = Clock::now() + m_deployment.m_bounds.m_recoveryTime;
     size_t sent = 0;
     while (crashes.wait_for(Millis(30)) != std::future_status::ready) {
         const std::string name = "other-" + std::to_string(++sent);
--- a/tests/platform/fleet_test.cpp
+++ b/tests/platform/fleet_test.cpp
@@ -88,10 +88,10 @@
 
 TEST_F(FleetTest, VmThatTheStoreTurnsAwayLivesOnThroughItsPeers)
 {
-    m_deployment.m_bounds.m_revoke = Millis(2'500);
+    m_deployment.m_bounds.m_revocationTime = Millis(2'500);
     start();
     setStoreFault(standin::RelayMode::Reset);
-    std::this_thread::sleep_for(m_deployment.m_bounds.m_revoke + Millis(500));
+    std::this_thread::sleep_for(m_deployment.m_bounds.m_revocationTime + Millis(500));
     EXPECT_EQ(m_deployment.call({}, 1).m_status, 200u);
     // Changes reach it too: routes, keys and endpoints.
     m_deployment.declare(2, "", R"(["key-of-two"])");
@@ -106,7 +106,7 @@
 
 TEST_F(FleetTest, RevokedKeyIsRefusedInTimeByAVmThatHearsNothing)
 {
-    m_deployment.m_bounds.m_revoke = Millis(2'500);
+    m_deployment.m_bounds.m_revocationTime = Millis(2'500);
     m_deployment.declare(1);
     m_deployment.addWorker("plain");
     m_deployment.addDaemon(m_relayedStore);
@@ -114,7 +114,7 @@
     EXPECT_EQ(m_deployment.call({}).m_status, 200u);
     setStoreFault(standin::RelayMode::HalfOpen);
     m_deployment.declare(2, "", R"(["key-of-two"])");
-    std::this_thread::sleep_for(m_deployment.m_bounds.m_revoke);
+    std::this_thread::sleep_for(m_deployment.m_bounds.m_revocationTime);
     EXPECT_EQ(m_deployment.call({}).m_status, 503u);
 }
 
--- a/tests/platform/relay_test.cpp
+++ b/tests/platform/relay_test.cpp
@@ -89,12 +89,12 @@
 
 TEST_F(RelayTest, StopsServingKeysThatItCannotProve)
 {
-    m_deployment.m_bounds.m_revoke = Millis(2'500);
+    m_deployment.m_bounds.m_revocationTime = Millis(2'500);
     start(1, 0);
     EXPECT_EQ(m_deployment.call({}).m_status, 200u);
     m_deployment.m_store->setMode(StoreMode::Silent);
     EXPECT_EQ(m_deployment.call({}).m_status, 200u); // The last proof still counts.
-    std::this_thread::sleep_for(m_deployment.m_bounds.m_revoke);
+    std::this_thread::sleep_for(m_deployment.m_bounds.m_revocationTime);
     const ClientAnswer refused = m_deployment.call({});
     EXPECT_EQ(refused.m_status, 503u);
     EXPECT_NE(refused.header("Retry-After"), "");
@@ -337,7 +337,7 @@
 
 TEST_F(RelayTest, ReservationsAreRenewedWhileTheStreamLasts)
 {
-    m_deployment.m_bounds.m_freeMemory = Millis(600);
+    m_deployment.m_bounds.m_memoryReleaseTime = Millis(600);
     start(0, 6);
     for (size_t i = 0; i < 6; ++i)
         worker(i).setEvents(50, Millis(30));
--- a/tests/platform/silence_test.cpp
+++ b/tests/platform/silence_test.cpp
@@ -283,7 +283,7 @@
     silence();
     EXPECT_TRUE(eventually([&] { return worker(0).runs().at(0).m_cancelled; }, Seconds(9)));
     report("client, its work ended", sinceSilence());
-    EXPECT_LT(sinceSilence(), m_deployment.m_bounds.m_contact + Millis(800));
+    EXPECT_LT(sinceSilence(), m_deployment.m_bounds.m_recoveryTime + Millis(800));
 }
 
 } // namespace
--- a/tests/platform/store_era_test.cpp
+++ b/tests/platform/store_era_test.cpp
@@ -148,12 +148,12 @@
 // A reading of the older store says nothing of what the lost version may have taken away.
 TEST_F(StoreEraTest, OlderConfigurationProvesNothingForTheLostOne)
 {
-    m_deployment.m_bounds.m_revoke = Millis(2'500);
+    m_deployment.m_bounds.m_revocationTime = Millis(2'500);
     start(2);
     m_deployment.declare(5);
     ASSERT_TRUE(eventually([this] { return allKnowVersion(5); }));
     m_deployment.m_store->returnToCopy(Away);
-    std::this_thread::sleep_for(Away + m_deployment.m_bounds.m_revoke);
+    std::this_thread::sleep_for(Away + m_deployment.m_bounds.m_revocationTime);
     // One that starts now reads the older version, and tells it.
     m_deployment.addDaemon();
     std::this_thread::sleep_for(Millis(800));
--- a/tests/platform/suspended_test.cpp
+++ b/tests/platform/suspended_test.cpp
@@ -12,7 +12,7 @@
 protected:
     void start(Millis revoke)
     {
-        m_deployment.m_bounds.m_revoke = revoke;
+        m_deployment.m_bounds.m_revocationTime = revoke;
         m_deployment.declare(1);
         m_deployment.addWorker("plain");
         m_deployment.addDaemon(relayed(m_deployment.m_store.address()));
