--- a/tests/policy/gang_plan_test.cpp
+++ b/tests/policy/gang_plan_test.cpp
@@ -391,7 +391,7 @@
 }
 
 // Strict streams on engines that no longer belong to their side use no slots of that side.
-TEST(TurnQueueTest, StreamsOnOtherEnginesUseNoSlotOfTheSide)
+TEST(DispatchQueueTest, StreamsOnOtherEnginesUseNoSlotOfTheSide)
 {
     const auto pool = engines(0, 4);
     StreamLedger ledger;
@@ -404,7 +404,7 @@
 }
 
 // A longer latency target permits a larger prefill backlog.
-TEST(TurnQueueTest, AllowedPrefillsDependOnTheLatencyTarget)
+TEST(DispatchQueueTest, AllowedPrefillsDependOnTheLatencyTarget)
 {
     const TurnSettings settings;
     SideLoad load;
@@ -460,7 +460,7 @@
         EXPECT_LT(plan->m_members[i].m_endpoint.m_id, others[0].m_id);
 }
 
-TEST(TurnQueueTest, OrdersByTargetAndPutsLateRequestsLast)
+TEST(DispatchQueueTest, OrdersByTargetAndPutsLateRequestsLast)
 {
     const LoadKey late{ 1, 1 };
     const LoadKey early{ 1, 2 };
@@ -481,7 +481,7 @@
 
 // Starting one request at a time delayed a burst of 250 per second by 1.1 s although slots were
 // free.
-TEST(TurnQueueTest, AllRequestsWithinTheLimitStartAtOnce)
+TEST(DispatchQueueTest, AllRequestsWithinTheLimitStartAtOnce)
 {
     TurnQueue queue;
     for (uint64_t i = 1; i <= 5; ++i)
@@ -491,7 +491,7 @@
     EXPECT_FALSE(mayStartNow(queue, { 1, 1 }, 0, Start));
 }
 
-TEST(TurnQueueTest, EntryWithoutReportedEndExpires)
+TEST(DispatchQueueTest, EntryWithoutReportedEndExpires)
 {
     const LoadKey gone{ 1, 1 };
     const LoadKey mine{ 2, 1 };
@@ -502,7 +502,7 @@
     EXPECT_TRUE(mayStartNow(queue, mine, 1, Start + Seconds(2)));
 }
 
-TEST(TurnQueueTest, DetectsRequestsThatCannotBeInTime)
+TEST(DispatchQueueTest, DetectsRequestsThatCannotBeInTime)
 {
     const WaitingTurn queued{ Start + Millis(3'000), Millis(1'000), Start + Seconds(9) };
     EXPECT_FALSE(isTooLate(queued, Start + Millis(2'000)));
@@ -511,7 +511,7 @@
     EXPECT_FALSE(isInTime(queued, FloatMillis(1'501), Start + Millis(1'500)));
 }
 
-TEST(TurnQueueTest, AllowedStartsDependOnTheLoad)
+TEST(DispatchQueueTest, AllowedStartsDependOnTheLoad)
 {
     const TurnSettings settings;
     SideLoad load;
@@ -536,7 +536,7 @@
 
 // To keep 48 engines busy for half a second, eight prompts of the largest declared kind have to be
 // in prefill.
-TEST(TurnQueueTest, LargePoolsPrefillMorePromptsConcurrently)
+TEST(DispatchQueueTest, LargePoolsPrefillMorePromptsConcurrently)
 {
     const TurnSettings settings;
     const double read = prefillDuration(declaredEngineCosts(), 190'000).count();
@@ -552,7 +552,7 @@
 
 // A request that is too late moves behind all others. A refusal that reported this would hide the
 // actual reason: no set of engines had the memory, or all were busy.
-TEST(TurnQueueTest, RefusalReportsThePreviousObstacle)
+TEST(DispatchQueueTest, RefusalReportsThePreviousObstacle)
 {
     ModelRequest request;
     request.m_promptTokens = 100'000;
@@ -576,7 +576,7 @@
 
 // If the limit grew with the pool, half of all long prompts in a large pool would bypass the queue,
 // and the larger half would be refused behind them.
-TEST(TurnQueueTest, CheapPrefillLimitDoesNotGrowWithThePool)
+TEST(DispatchQueueTest, CheapPrefillLimitDoesNotGrowWithThePool)
 {
     const TurnSettings settings;
     SideLoad load;
@@ -590,7 +590,7 @@
 
 // An estimate as if all engines of the pool prefilled each prompt (0.33 s on 60 engines) started
 // prompts too late: 180 k tokens took 0.7 to 0.85 s there with a full backlog.
-TEST(TurnQueueTest, FirstEventEstimateUsesTheLimitOfEngines)
+TEST(DispatchQueueTest, FirstEventEstimateUsesTheLimitOfEngines)
 {
     const TurnSettings settings;
     const FloatMillis needed = longPromptFirstEvent(settings, declaredEngineCosts(), 180'000, 60);
