--- a/policy/crash_suspects.cpp
+++ b/policy/crash_suspects.cpp
@@ -171,9 +171,9 @@
     const auto suspect = table.m_suspects.find(fingerprint);
     if (suspect == table.m_suspects.end())
         return SuspectCare::None;
-    const bool alone =
+    const bool lowLoad =
         suspect->second.m_crashes.size() + 1 >= table.m_settings.m_quarantineThreshold;
-    return alone ? SuspectCare::LowLoad : SuspectCare::Apart;
+    return lowLoad ? SuspectCare::LowLoad : SuspectCare::Apart;
 }
 
 SuspectVerdict decideAttempt(const SuspectTable &table, const Fingerprint &fingerprint,
--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -14,13 +14,11 @@
     double m_retrySlack = 10;
     Seconds m_retryWindow{ 10 };
     Seconds m_grace{ 8 }; ///< Time from SIGTERM to SIGKILL.
-    Millis m_recoveryTime{
-        3'000
-    }; ///< Time within which service has to recover after a disturbance.
+    /// Time within which service has to recover after a disturbance.
+    Millis m_recoveryTime{ 3'000 };
     Millis m_longestHold{ 20'000 }; ///< Maximum hold time of a memory reservation.
-    Millis m_memoryReleaseTime{
-        4'000
-    }; ///< Time within which memory must be free after its last use.
+    /// Time within which memory must be free after its last use.
+    Millis m_memoryReleaseTime{ 4'000 };
 
     bool operator==(const RelayBounds &) const = default;
 };
