--- a/relay/condemned_record.cpp
+++ b/relay/condemned_record.cpp
@@ -24,7 +24,7 @@
 
 bool covers(const SuspectNews &known, const SuspectNews &report)
 {
-    return known.m_ends.size() >= report.m_ends.size() && known.m_trials >= report.m_trials;
+    return known.m_crashes.size() >= report.m_crashes.size() && known.m_trials >= report.m_trials;
 }
 
 /// Whether @p known contains everything that @p reports contains.
@@ -40,7 +40,7 @@
 Result<SuspectNews> readEntry(const Json &entry, WallTime now)
 {
     if (!entry.is_object())
-        return makeError(ErrorCode::InvalidArgument, "an entry is not an object");
+        return makeError(ErrorCode::InvalidArgument, "an entry is no object");
     SuspectNews report;
     report.m_print = fingerprintFrom(stringField(entry, "print").value_or(""));
     const auto ends = entry.find("ends");
@@ -53,8 +53,8 @@
         return makeError(ErrorCode::InvalidArgument, "an entry lacks print, ends, trials or at_ms");
     for (const Json &end : *ends) {
         if (!end.is_number_unsigned())
-            return makeError(ErrorCode::InvalidArgument, "an element of ends is not a process key");
-        report.m_ends.push_back(end.get<uint64_t>());
+            return makeError(ErrorCode::InvalidArgument, "an end is no name of a process");
+        report.m_crashes.push_back(end.get<uint64_t>());
     }
     report.m_trials = trials->get<uint32_t>();
     report.m_ageMs =
@@ -69,7 +69,7 @@
     Json entries = Json::array();
     for (const SuspectNews &report : quarantined) {
         entries.push_back({ { "print", toString(report.m_print) },
-                            { "ends", report.m_ends },
+                            { "ends", report.m_crashes },
                             { "trials", report.m_trials },
                             { "at_ms", millisOf(now) - static_cast<int64_t>(report.m_ageMs) } });
     }
@@ -83,7 +83,7 @@
         return tl::unexpected(object.error());
     const auto entries = object->find("condemned");
     if (entries == object->end() || !entries->is_array())
-        return makeError(ErrorCode::InvalidArgument, "condemned is missing or not a list");
+        return makeError(ErrorCode::InvalidArgument, "no list of condemned requests");
     std::vector<SuspectNews> quarantined;
     for (const Json &entry : *entries) {
         auto report = readEntry(entry, now);
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -60,7 +60,7 @@
     for (const GangMember &member : plan.m_members)
         parts.push_back({ member.m_endpoint.m_id, member.m_readMs, member.m_tokens });
     m_node.place(m_loadKey, std::move(parts), gapLimitMs(), remainingTime() + LedgerSlack,
-                 m_care == SuspectCare::None ? std::nullopt : m_print);
+                 m_suspectHandling == SuspectCare::None ? std::nullopt : m_print);
     logPlacement(plan);
     const AttemptResult end = attemptPlaced(plan, reservations);
     m_node.end(m_loadKey);
@@ -84,7 +84,7 @@
     if (!mayRetry())
         return remainingTime();
     if (m_route->m_kind != RouteKind::Stream)
-        return std::max<Duration>(m_route->m_aim * ServiceAims, MinFirstEventTimeout);
+        return std::max<Duration>(m_route->m_latencyTarget * ServiceAims, MinFirstEventTimeout);
     // With a long backlog, a late first event says little about the endpoint.
     return std::max(streamSilenceTimeout(),
                     std::chrono::duration_cast<Duration>(plan.m_firstEvent * LateFactor));
@@ -95,7 +95,7 @@
     const HttpRequest &request = m_exchange.request();
     AttemptHead head;
     head.m_endpoint = plan.m_members.front().m_endpoint.m_id;
-    head.m_left = std::chrono::duration_cast<Millis>(remainingTime());
+    head.m_remaining = std::chrono::duration_cast<Millis>(remainingTime());
     head.m_customer = m_customer;
     head.m_lastEvent = m_lastEvent;
     if (m_service && m_service->m_engine)
@@ -114,12 +114,12 @@
     const EndpointRecord &endpoint = plan.m_members.front().m_endpoint;
     const auto address = parseAddress(endpoint.m_address);
     if (!address)
-        return failAttempt(endpoint, FailureWeight::Telling, "invalid address");
+        return failAttempt(endpoint, FailureWeight::Telling, "no address");
     // A dead connection is also costly if memory is reserved on other endpoints meanwhile.
     const bool holdsMemory = std::any_of(plan.m_members.begin(), plan.m_members.end(),
                                          [](const GangMember &member) { return member.m_reserve; });
     const bool proved = atMostOnce() || m_sentAttempts > 0 || holdsMemory;
-    const Duration justUsed = m_node.m_settings.m_bounds.m_contact / JustUsedShare;
+    const Duration justUsed = m_node.m_settings.m_bounds.m_recoveryTime / JustUsedShare;
     auto connection =
         m_node.m_pool.acquire(*address, std::min<Duration>(remainingTime(), ConnectTimeout), false,
                               proved ? justUsed : Duration::max());
@@ -239,7 +239,7 @@
     const bool ours = head.m_id == m_head.m_id || (head.m_id.empty() && !reused);
     if (!ours)
         return failAttempt(endpoint, FailureWeight::Chance,
-                           "the response belongs to another request");
+                           "the answer belongs to another request");
     if (head.m_notRun)
         return handleRefusal(connection, endpoint, head, *response, reused);
     if (m_route->m_kind == RouteKind::Stream && isSuccess(response->m_status))
@@ -290,8 +290,7 @@
     if (!body)
         return failRead(connection, endpoint, body.error());
     if (!head.m_signed || head.m_encoded)
-        return failAttempt(endpoint, FailureWeight::Chance,
-                           "the response is unsigned or was changed by an intermediary");
+        return failAttempt(endpoint, FailureWeight::Chance, "the answer is not the endpoint's own");
     response.m_body = std::move(*body);
     response.m_headers = head.m_endToEnd;
     if (response.m_status < StatusServerError) {
@@ -324,8 +323,7 @@
                                               TimePoint firstEventBy)
 {
     if (!head.m_signed || head.m_encoded)
-        return failAttempt(endpoint, FailureWeight::Chance,
-                           "the response is unsigned or was changed by an intermediary");
+        return failAttempt(endpoint, FailureWeight::Chance, "the answer is not the endpoint's own");
     EventSplitter events;
     std::string piece;
     bool first = true;
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -27,7 +27,7 @@
     message.m_gapLimitMs = gapLimitMs;
     message.m_expiresMs = millisOf(turn.m_expiresAt - now);
     message.m_aimMs = millisOf(turn.m_aimAt - now);
-    message.m_neededMs = millisOf(turn.m_needed);
+    message.m_neededMs = millisOf(turn.m_minTimeToFirstEvent);
     message.m_leadMs = millisOf(turn.m_lead);
     return message;
 }
@@ -83,7 +83,7 @@
     message.m_gapLimitMs = load.m_gapLimitMs;
     message.m_expiresMs = millisOf(load.m_expiresAt - now);
     message.m_ageMs = millisOf(now - load.m_placedAt);
-    message.m_writing = load.m_writing;
+    message.m_writing = load.m_decoding;
     if (const auto suspect = m_suspects.suspectOf(key))
         message.m_fingerprints = { *suspect };
     return message;
@@ -99,7 +99,7 @@
     return m_strictQueue.erase(key) + m_longQueue.erase(key) > 0;
 }
 
-void RelayNode::wait(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn)
+void RelayNode::announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn)
 {
     m_loads.send(waitingMessage(key, gapLimitMs, turn, Clock::now()));
     queueOf(gapLimitMs)[key] = turn;
@@ -248,7 +248,7 @@
         endpoints += pool.size();
     if (m_stopping || !recordSharedFailure(m_ejections, endpoint, endpoints, vm, Clock::now()))
         return;
-    noteEjection(m_metrics, endpoint, "it broke off responses to several VMs");
+    noteEjection(m_metrics, endpoint, "it broke off answers to several VMs");
 }
 
 void RelayNode::recordResponse(const LoadKey &key)
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -46,10 +46,11 @@
 std::optional<GangPlan> RelayRun::choosePlan(StreamCare care, const PoolState &seen)
 {
     const std::vector<EndpointRecord> pool = candidates();
-    const auto places = m_node.m_suspects.eligibleEndpoints(m_care, pool, m_node.m_ledger);
+    const auto places =
+        m_node.m_suspects.eligibleEndpoints(m_suspectHandling, pool, m_node.m_ledger);
     auto plan = planWithin(places, care, seen);
     // Prefers an endpoint with other suspects to none: most suspects are harmless.
-    if (!plan && m_care == SuspectCare::Apart && places.size() < pool.size())
+    if (!plan && m_suspectHandling == SuspectCare::Apart && places.size() < pool.size())
         plan = planWithin(pool, care, seen);
     return plan;
 }
@@ -71,7 +72,7 @@
     question.m_rooms.m_draw = [this] {
         return std::uniform_real_distribution<double>(0, 1)(m_node.m_random);
     };
-    return planGang(m_node.m_gang, costs, divide(pool, seen.m_strictSide, request.strict()),
+    return planGang(m_node.m_gang, costs, splitPool(pool, seen.m_strictSide, request.strict()),
                     seen.m_uses, question);
 }
 
@@ -85,11 +86,11 @@
     ModelRequest request;
     request.m_promptTokens = static_cast<double>(m_head.m_promptTokens);
     request.m_gapLimitMs = gapLimitMs();
-    request.m_aim = m_route->m_aim;
+    request.m_latencyTarget = m_route->m_latencyTarget;
     request.m_patience = clientPatience();
     request.m_arrival = m_arrival;
     request.m_deadline = m_deadline;
-    request.m_repeat = m_sentAttempts > 0;
+    request.m_isRetry = m_sentAttempts > 0;
     return request;
 }
 
@@ -115,7 +116,7 @@
 Duration RelayRun::timeToComplete(double slack) const
 {
     if (!isModelRequest())
-        return std::chrono::duration_cast<Duration>(m_route->m_aim * slack);
+        return std::chrono::duration_cast<Duration>(m_route->m_latencyTarget * slack);
     const EngineCosts &costs = *m_service->m_engine;
     const auto usual = static_cast<double>(costs.m_usualAnswerTokens);
     const auto limit = static_cast<double>(m_head.m_answerTokens);
@@ -183,11 +184,11 @@
             }
         }
         if (!announced)
-            m_node.wait(m_loadKey, gapLimitMs(), turn);
+            m_node.announceWaiting(m_loadKey, gapLimitMs(), turn);
         announced = true;
         if (cannotFinish || !sleepFor(m_node.m_thread.context(), TurnPoll) || m_clientDisconnected
             || remainingTime() <= TurnPoll) {
-            m_failureReason = "ended while it waited in the queue";
+            m_failureReason = "waited for its turn";
             return std::nullopt;
         }
     }
@@ -203,13 +204,13 @@
         .text("why", m_failureReason)
         .number("tokens", static_cast<int64_t>(m_head.m_promptTokens))
         .number("wait_ms", std::chrono::duration_cast<Millis>(now - m_arrival).count())
-        .number("needed_ms", std::chrono::duration_cast<Millis>(turn.m_needed).count())
+        .number("needed_ms", std::chrono::duration_cast<Millis>(turn.m_minTimeToFirstEvent).count())
         .number("ahead", aheadOf(queue, m_loadKey, now))
         .number("waiting", static_cast<int64_t>(queue.size()))
         .number("room", roomOf(m_node.m_turns, load, isStrictGap(gapLimitMs())))
         .number("engines", static_cast<int64_t>(load.m_engines))
-        .number("reading", load.m_reading.m_prompts)
-        .number("read_ms", static_cast<int64_t>(load.m_reading.m_readMs))
+        .number("reading", load.m_activePrefills.m_prompts)
+        .number("read_ms", static_cast<int64_t>(load.m_activePrefills.m_readMs))
         .write();
 }
 
@@ -226,7 +227,7 @@
         .number("wait_ms", std::chrono::duration_cast<Millis>(Clock::now() - m_arrival).count())
         .number("in_flight", static_cast<int64_t>(m_node.m_ledger.size()))
         .number("tried", static_cast<int64_t>(m_triedEndpoints.size()))
-        .flag("suspect", m_care != SuspectCare::None)
+        .flag("suspect", m_suspectHandling != SuspectCare::None)
         .write();
 }
 
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -87,14 +87,14 @@
         if (fresh)
             refuse(StatusNotFound, "no such route", {});
         else
-            refuse(StatusUnavailable, "no such route, but the configuration may be outdated",
+            refuse(StatusUnavailable, "no such route in a configuration of some age",
                    RetryAfterStart);
         return false;
     }
     if (!admitKey(fresh))
         return false;
     const double draw = std::uniform_real_distribution<double>(0, 1)(m_node.m_random);
-    m_serviceId = drawService(*m_route, draw);
+    m_serviceId = selectService(*m_route, draw);
     const auto service = routes.m_services.find(m_serviceId);
     m_service = service == routes.m_services.end() ? nullptr : &service->second;
     m_deadline =
@@ -122,18 +122,17 @@
 bool RelayRun::maySend()
 {
     if (!maybeSuspect()) {
-        m_care = SuspectCare::None;
+        m_suspectHandling = SuspectCare::None;
         return true;
     }
-    const SuspectVerdict verdict = m_node.m_suspects.judge(fingerprint(), m_loadKey);
-    m_care = verdict.m_care;
+    const SuspectVerdict verdict = m_node.m_suspects.decideAttempt(fingerprint(), m_loadKey);
+    m_suspectHandling = verdict.m_handling;
     if (verdict.mayTry())
         return true;
     m_quarantineRetryAfter = std::chrono::duration_cast<Millis>(verdict.m_comeBack);
-    m_failureReason =
-        verdict.m_care == SuspectCare::Condemned
-            ? "quarantined: endpoint processes exited while they ran it"
-            : "suspected of crashing endpoints, and an attempt is in progress elsewhere";
+    m_failureReason = verdict.m_handling == SuspectCare::Condemned
+                          ? "the processes of endpoints ended under it"
+                          : "endpoints ended under it, and it is being tried elsewhere";
     m_node.m_metrics.m_blocked.add();
     return false;
 }
@@ -146,9 +145,9 @@
     if (m_route->m_public || !routes.m_hasCustomers)
         return true;
     const RelayBounds &bounds = m_view->m_bounds;
-    const Duration bound = bounds.m_revoke - FreshnessMargin;
+    const Duration bound = bounds.m_revocationTime - FreshnessMargin;
     if (bounds.m_strictKeys && !freshEnough(m_view->m_proof, routes.m_version, bound, m_arrival)) {
-        refuse(StatusUnavailable, "keys cannot be checked: the configuration may be outdated",
+        refuse(StatusUnavailable, "keys cannot be checked: the configuration may be old",
                RetryAfterStart);
         return false;
     }
@@ -157,7 +156,7 @@
         if (fresh)
             refuse(StatusUnauthorized, "no such key", {});
         else
-            refuse(StatusUnavailable, "no such key, but the configuration may be outdated",
+            refuse(StatusUnavailable, "no such key in a configuration of some age",
                    RetryAfterStart);
         return false;
     }
@@ -200,7 +199,7 @@
         if (!plan && isModelRequest())
             break;
         if (!plan) {
-            m_failureReason = "no endpoint can take the request";
+            m_failureReason = "no endpoint can take it";
             const bool waited = sleepFor(m_node.m_thread.context(), PlacementRetryDelay);
             if (waited)
                 continue;
@@ -228,8 +227,8 @@
 
 Duration RelayRun::clientPatience() const
 {
-    return std::max(
-        { MinClientPatience, m_route->m_aim * PatienceAims, m_route->m_gapAim * PatienceGaps });
+    return std::max({ MinClientPatience, m_route->m_latencyTarget * PatienceAims,
+                      m_route->m_gapAim * PatienceGaps });
 }
 
 void RelayRun::finishUnanswered()
@@ -306,7 +305,7 @@
         .number("arrivals", m_sentAttempts)
         .number("first_ms", std::chrono::duration_cast<Millis>(m_firstEventDelay).count())
         .number("longest_gap_ms", std::chrono::duration_cast<Millis>(m_longestGap).count())
-        .number("aim_ms", m_route ? m_route->m_aim.count() : 0)
+        .number("aim_ms", m_route ? m_route->m_latencyTarget.count() : 0)
         .number("gap_aim_ms", m_route ? m_route->m_gapAim.count() : 0)
         .number("drain_ms", arrivedInDrainMs())
         .number("ms", std::chrono::duration_cast<Millis>(now - m_arrival).count())
@@ -328,7 +327,7 @@
 
 void RelayRun::abortForShutdown()
 {
-    m_failureReason = "the daemon is shutting down";
+    m_failureReason = "the process ends";
     if (m_connection)
         m_connection->cancel();
     DecisionLine("relay", "request given up")
--- a/tests/platform/join_test.cpp
+++ b/tests/platform/join_test.cpp
@@ -58,7 +58,7 @@
         onTraffic(index, [&known](RelayNode &node) {
             for (const auto &[key, load] : node.m_ledger.loads())
                 known.m_loads[{ key.m_origin, key.m_sequence }] = { load.m_parts, load.m_gapLimitMs,
-                                                                    load.m_writing };
+                                                                    load.m_decoding };
             known.m_waiting = node.m_strictQueue.size() + node.m_longQueue.size();
         });
         return known;
@@ -133,8 +133,10 @@
     place(0, 1, Millis(1'500));
     onTraffic(0, [](RelayNode &node) {
         const TimePoint now = Clock::now();
-        node.wait(node.nextKey(), 1'000, { now + Seconds(5), Millis(700), now + Seconds(10) });
-        node.wait(node.nextKey(), 100, { now + Seconds(1), Millis(100), now + Seconds(10) });
+        node.announceWaiting(node.nextKey(), 1'000,
+                             { now + Seconds(5), Millis(700), now + Seconds(10) });
+        node.announceWaiting(node.nextKey(), 100,
+                             { now + Seconds(1), Millis(100), now + Seconds(10) });
     });
     std::this_thread::sleep_for(Millis(400));
     m_deployment->addDaemon();
@@ -155,7 +157,7 @@
         EXPECT_EQ(later.at(EndpointId("i-engine-0")).m_attempts, gangs);
         ASSERT_EQ(node.m_longQueue.size(), 1u);
         const WaitingTurn &turn = node.m_longQueue.begin()->second;
-        EXPECT_EQ(turn.m_needed, Duration(Millis(700)));
+        EXPECT_EQ(turn.m_minTimeToFirstEvent, Duration(Millis(700)));
         EXPECT_LT(turn.m_aimAt, now + Millis(4'700));
         EXPECT_GT(turn.m_aimAt, now + Millis(3'000));
     });
