--- a/policy/engine_costs.cpp
+++ b/policy/engine_costs.cpp
@@ -6,7 +6,7 @@
 {
     constexpr double Million = 1e6;
     const double pairs = tokens * tokens / 2;
-    return FloatMillis(tokens / costs.m_readTokensPerSecond * 1000)
+    return FloatMillis(tokens / costs.m_prefillTokensPerSecond * 1000)
            + costs.m_perMillionPairs * (pairs / Million);
 }
 
@@ -18,7 +18,7 @@
     return step * costs.m_stride;
 }
 
-FloatMillis writeTime(const EngineCosts &costs, double answerTokens)
+FloatMillis decodeDuration(const EngineCosts &costs, double answerTokens)
 {
     const double context = static_cast<double>(costs.m_memoryTokens) / 2;
     return passTime(costs, costs.m_slots, context) * (answerTokens / costs.m_stride);
--- a/policy/engine_costs.h
+++ b/policy/engine_costs.h
@@ -21,7 +21,7 @@
     FloatMillis m_step{ 1 }; ///< Base time of a decode step.
     FloatMillis m_stepPerSequence{ 0 }; ///< Added for each decoding request.
     FloatMillis m_stepPerThousandContext{ 0 }; ///< Added for each 1,000 tokens of context.
-    double m_readTokensPerSecond = 1; ///< Prefill rate, without attention.
+    double m_prefillTokensPerSecond = 1; ///< Prefill rate, without attention.
     FloatMillis m_perMillionPairs{ 0 }; ///< Attention: pairs of a token and an earlier one.
     FloatMillis m_hop{ 0 }; ///< Added to a step for each request that several engines prefilled.
     uint64_t m_usualAnswerTokens = 0; ///< Mean length of an answer; 0: not declared.
@@ -36,6 +36,6 @@
 
 /// Time to decode @p answerTokens on an engine whose slots are all taken and whose memory is half
 /// full.
-FloatMillis writeTime(const EngineCosts &costs, double answerTokens);
+FloatMillis decodeDuration(const EngineCosts &costs, double answerTokens);
 
 } // namespace stackquay
--- a/policy/engine_room.cpp
+++ b/policy/engine_room.cpp
@@ -36,9 +36,9 @@
     candidate.m_use = useOf(uses, endpoint.m_id);
     const EndpointUse &use = candidate.m_use;
     const double far = endpoint.m_dataCentre == query.m_dataCentre ? 0 : RemoteCostMs;
-    const double draw = query.m_draw ? query.m_draw() * MaxJitterCostMs : 0;
+    const double draw = query.m_drawJitter ? query.m_drawJitter() * MaxJitterCostMs : 0;
     const double full = use.m_attempts >= costs.m_slots ? FullEngineCostMs : 0;
-    candidate.m_prefillCost = use.m_readBacklogMs + far;
+    candidate.m_prefillCost = use.m_prefillBacklogMs + far;
     candidate.m_answerCost = candidate.m_prefillCost + AttemptCostMs * use.m_attempts + full + draw;
     candidate.m_prefillHeadroomMs = prefillHeadroomMs(settings, costs, use);
     candidate.m_freeTokens =
@@ -59,7 +59,7 @@
     if (use.m_minGapLimitMs == 0)
         return std::numeric_limits<double>::infinity();
     const FloatMillis pass = passTime(costs, use.m_attempts, static_cast<double>(use.m_tokens));
-    return settings.m_maxGapUse * use.m_minGapLimitMs - pass.count() - use.m_readBacklogMs;
+    return settings.m_maxGapUse * use.m_minGapLimitMs - pass.count() - use.m_prefillBacklogMs;
 }
 
 std::vector<EngineCandidate> engineCandidates(const CandidateSettings &settings,
@@ -84,7 +84,7 @@
 {
     FloatMillis backlog{ 0 };
     for (size_t i = 0; i < width; ++i)
-        backlog = std::max(backlog, FloatMillis(engines[i].m_use.m_readBacklogMs));
+        backlog = std::max(backlog, FloatMillis(engines[i].m_use.m_prefillBacklogMs));
     const EndpointUse &use = engines.front().m_use;
     const FloatMillis pass =
         passTime(costs, use.m_decodingStreams + 1, static_cast<double>(use.m_tokens));
--- a/policy/engine_room.h
+++ b/policy/engine_room.h
@@ -35,7 +35,7 @@
     DataCentreId m_dataCentre; ///< Of the VM that chooses.
     /// Returns a random number in [0, 1) for each candidate. It spreads the choices of VMs that do
     /// not know each other's load yet. Empty: no randomization.
-    std::function<double()> m_draw;
+    std::function<double()> m_drawJitter;
 };
 
 /// Memory of one engine that plans may use, in tokens.
--- a/policy/gang_plan.cpp
+++ b/policy/gang_plan.cpp
@@ -67,12 +67,11 @@
         plan.m_members.push_back({ *engine.m_endpoint, group.m_partTime.count(), 0, false });
     plan.m_members[0].m_tokens = static_cast<uint64_t>(prompt.m_tokens);
     plan.m_firstEvent = group.m_firstEvent;
-    plan.m_spoilt = group.m_spoilt;
+    plan.m_disruptedStreams = group.m_disruptedStreams;
     return plan;
 }
 
-LongPrompt promptOf(const GangSettings &settings, const EngineCosts &costs,
-                    const GangQuestion &query)
+LongPrompt promptOf(const GangSettings &settings, const EngineCosts &costs, const GangQuery &query)
 {
     const double tokens = query.m_promptTokens + query.m_answerTokens;
     return { tokens, prefillDuration(costs, query.m_promptTokens),
@@ -81,13 +80,13 @@
 
 std::optional<GangPlan> planStrict(const GangSettings &settings, const EngineCosts &costs,
                                    const GangSides &sides, const EndpointUses &uses,
-                                   const GangQuestion &query)
+                                   const GangQuery &query)
 {
     PrefillGroup group;
     std::vector<EngineCandidate> &engines = group.m_engines;
-    engines =
-        engineCandidates(settings.m_candidates, costs,
-                         sides.m_own.empty() ? sides.m_other : sides.m_own, uses, query.m_rooms);
+    engines = engineCandidates(settings.m_candidates, costs,
+                               sides.m_own.empty() ? sides.m_other : sides.m_own, uses,
+                               query.m_candidateQuery);
     if (engines.empty())
         return std::nullopt;
     const LongPrompt prompt = promptOf(settings, costs, query);
@@ -105,11 +104,11 @@
 /// prompt is small enough; then all engines, if that takes too long.
 std::optional<PrefillGroup> longPrefillGroup(const GangSettings &settings, const EngineCosts &costs,
                                              const GangSides &sides, const EndpointUses &uses,
-                                             const GangQuestion &query, const LongPrompt &prompt)
+                                             const GangQuery &query, const LongPrompt &prompt)
 {
     const auto byCost = [&](const std::vector<EndpointRecord> &endpoints) {
         auto candidates =
-            engineCandidates(settings.m_candidates, costs, endpoints, uses, query.m_rooms);
+            engineCandidates(settings.m_candidates, costs, endpoints, uses, query.m_candidateQuery);
         std::stable_sort(candidates.begin(), candidates.end(), hasLowerPrefillCost);
         return candidates;
     };
@@ -141,7 +140,7 @@
 
 std::optional<GangPlan> planGang(const GangSettings &settings, const EngineCosts &costs,
                                  const GangSides &sides, const EndpointUses &uses,
-                                 const GangQuestion &query)
+                                 const GangQuery &query)
 {
     if (query.strict())
         return planStrict(settings, costs, sides, uses, query);
--- a/policy/gang_plan.h
+++ b/policy/gang_plan.h
@@ -30,13 +30,13 @@
 };
 
 /// The request to be planned.
-struct GangQuestion {
+struct GangQuery {
     double m_promptTokens = 0;
     double m_answerTokens = 0; ///< Expected.
     uint32_t m_gapLimitMs = 0; ///< Longest tolerated gap between events; 0: no limit.
     FloatMillis m_timeLeft{ 1'000 }; ///< Until the latency target of the first event.
-    StreamCare m_disruption = StreamCare::Spare; ///< For long prompts only.
-    CandidateQuery m_rooms;
+    DisruptionPolicy m_disruption = DisruptionPolicy::Avoid; ///< For long prompts only.
+    CandidateQuery m_candidateQuery;
 
     /// Whether its stream is strict, see isStrictGap().
     bool strict() const { return isStrictGap(m_gapLimitMs); }
@@ -45,7 +45,7 @@
 /// One engine of a gang.
 struct GangMember {
     EndpointRecord m_endpoint;
-    double m_readMs = 0; ///< Predicted prefill of its part, alone on the engine.
+    double m_prefillMs = 0; ///< Predicted prefill of its part, alone on the engine.
     /// Memory that the request uses there. A helper keeps only what is reserved for parts of the KV
     /// cache that the first engine cannot hold.
     uint64_t m_tokens = 0;
@@ -56,7 +56,7 @@
     std::vector<GangMember> m_members; ///< At least one; the first one decodes the answer.
     FloatMillis m_firstEvent{ 0 }; ///< Predicted time from sending to the first event.
     /// Streams that the prefill is predicted to disrupt, so that they exceed their gap limits.
-    uint32_t m_spoilt = 0;
+    uint32_t m_disruptedStreams = 0;
 };
 
 /// The candidates of the request's own side of the pool, and the others.
@@ -69,7 +69,7 @@
 /// streams that tolerate its prefill now.
 std::optional<GangPlan> planGang(const GangSettings &settings, const EngineCosts &costs,
                                  const GangSides &sides, const EndpointUses &uses,
-                                 const GangQuestion &query);
+                                 const GangQuery &query);
 
 /// The candidate with the fewest attempts in flight per slot; @p dataCentre wins ties. Null if
 /// there is no candidate.
--- a/policy/long_readers.cpp
+++ b/policy/long_readers.cpp
@@ -43,11 +43,11 @@
 std::vector<EngineCandidate> eligibleEngines(const EngineCosts &costs,
                                              const std::vector<EngineCandidate> &engines,
                                              const LongPrompt &prompt, FloatMillis part,
-                                             StreamCare disruption)
+                                             DisruptionPolicy disruption)
 {
     std::vector<EngineCandidate> members;
     for (const EngineCandidate &engine : engines) {
-        if (disruption == StreamCare::Permit || engine.m_prefillHeadroomMs >= part.count())
+        if (disruption == DisruptionPolicy::Permit || engine.m_prefillHeadroomMs >= part.count())
             members.push_back(engine);
     }
     if (members.empty())
@@ -65,7 +65,7 @@
 std::optional<PrefillGroup> prefillGroupOf(const EngineCosts &costs,
                                            const std::vector<EngineCandidate> &engines,
                                            const LongPrompt &prompt, size_t width,
-                                           StreamCare disruption)
+                                           DisruptionPolicy disruption)
 {
     PrefillGroup group;
     group.m_partTime = prompt.m_prefill / static_cast<double>(width);
@@ -75,7 +75,7 @@
     group.m_engines.resize(width);
     if (freeTokens(group.m_engines) < prompt.m_tokens)
         return std::nullopt;
-    group.m_spoilt = disruptedStreamsAt(group.m_partTime, group.m_engines);
+    group.m_disruptedStreams = disruptedStreamsAt(group.m_partTime, group.m_engines);
     group.m_firstEvent = predictFirstEvent(costs, group.m_engines, width, group.m_partTime);
     return group;
 }
@@ -92,7 +92,8 @@
 std::optional<PrefillGroup> fastestPrefillGroup(const PrefillGroupSettings &settings,
                                                 const EngineCosts &costs,
                                                 const std::vector<EngineCandidate> &engines,
-                                                const LongPrompt &prompt, StreamCare disruption)
+                                                const LongPrompt &prompt,
+                                                DisruptionPolicy disruption)
 {
     // The memory may require more engines than the minimum part length allows.
     const size_t maxWidth =
--- a/policy/long_readers.h
+++ b/policy/long_readers.h
@@ -28,8 +28,8 @@
 };
 
 /// Whether a prefill may disrupt streams, so that they exceed their gap limits.
-enum class StreamCare {
-    Spare, ///< Use only engines whose streams tolerate the prefill.
+enum class DisruptionPolicy {
+    Avoid, ///< Use only engines whose streams tolerate the prefill.
     Permit, ///< Use any engine and count the disrupted streams.
 };
 
@@ -38,7 +38,7 @@
     std::vector<EngineCandidate> m_engines; ///< The first one decodes the answer.
     FloatMillis m_partTime{ 0 }; ///< Predicted prefill time of one part.
     FloatMillis m_firstEvent{ 0 }; ///< Predicted time from sending to the first event.
-    uint32_t m_spoilt = 0; ///< Streams predicted to exceed their gap limits.
+    uint32_t m_disruptedStreams = 0; ///< Streams predicted to exceed their gap limits.
 };
 
 /// Smallest number of engines, out of @p engines, that divides a prefill that takes @p prefill into
@@ -48,11 +48,12 @@
                          FloatMillis part);
 
 /// The group with the earliest predicted first event. @p engines are sorted by preference as
-/// helpers. No value if no group has the memory, or with StreamCare::Spare, if streams do not
+/// helpers. No value if no group has the memory, or with DisruptionPolicy::Avoid, if streams do not
 /// tolerate it.
 std::optional<PrefillGroup> fastestPrefillGroup(const PrefillGroupSettings &settings,
                                                 const EngineCosts &costs,
                                                 const std::vector<EngineCandidate> &engines,
-                                                const LongPrompt &prompt, StreamCare disruption);
+                                                const LongPrompt &prompt,
+                                                DisruptionPolicy disruption);
 
 } // namespace stackquay
--- a/policy/long_set.cpp
+++ b/policy/long_set.cpp
@@ -23,8 +23,8 @@
 
 } // namespace
 
-void noteLongDemand(LongSet &set, Duration predicted, TimePoint now,
-                    const LongSetSettings &settings)
+void recordLongDemand(LongSet &set, Duration predicted, TimePoint now,
+                      const LongSetSettings &settings)
 {
     set.m_recentWork = decayed(set, now, settings) + FloatSeconds(predicted).count();
     set.m_recentWorkAt = std::max(set.m_recentWorkAt, now);
--- a/policy/long_set.h
+++ b/policy/long_set.h
@@ -32,8 +32,8 @@
 };
 
 /// Adds a requested long prefill of @p predicted duration to the demand.
-void noteLongDemand(LongSet &set, Duration predicted, TimePoint now,
-                    const LongSetSettings &settings = {});
+void recordLongDemand(LongSet &set, Duration predicted, TimePoint now,
+                      const LongSetSettings &settings = {});
 /// Number of fully used engines that the long prefills need, both the arriving and the waiting
 /// ones.
 double longDemand(const LongSet &set, TimePoint now, const LongSetSettings &settings = {});
--- a/policy/pool_split.cpp
+++ b/policy/pool_split.cpp
@@ -70,7 +70,7 @@
     const PoolSplitSettings &settings = split.m_settings;
     size_t needed =
         strictShare(settings, demandOf(settings, pool, uses, strict), strict.m_slots, pool.size());
-    if (strict.m_blind)
+    if (strict.m_peerLoadUnknown)
         needed = std::max(needed, pool.size() / 2);
 
     auto &needs = split.m_recentNeeds;
--- a/policy/pool_split.h
+++ b/policy/pool_split.h
@@ -51,7 +51,7 @@
     FloatMillis m_streamTime{ 0 }; ///< Minimum duration of one stream; 0: not declared.
     uint32_t m_slots = 16; ///< Of one engine.
     /// This VM started so recently that it does not know the load of the other VMs yet.
-    bool m_blind = false;
+    bool m_peerLoadUnknown = false;
 };
 
 /// State of the split of one pool.
--- a/policy/steward.cpp
+++ b/policy/steward.cpp
@@ -243,7 +243,7 @@
                 TimePoint now)
 {
     auto &model = steward.m_models[request.m_model];
-    noteLongDemand(model.m_longSet, estimated.m_prefill, now, steward.m_settings.m_longSet);
+    recordLongDemand(model.m_longSet, estimated.m_prefill, now, steward.m_settings.m_longSet);
     resizeLongSetOf(steward, request.m_model, model, now);
 }
 
--- a/policy/stream_ledger.cpp
+++ b/policy/stream_ledger.cpp
@@ -18,7 +18,7 @@
 /// A part whose prefill on one endpoint is not reported as complete.
 struct OutstandingPrefill {
     TimePoint m_at{}; ///< Time of placement.
-    double m_readMs = 0;
+    double m_prefillMs = 0;
     bool m_long = false; ///< For a stream that is not strict.
 };
 
@@ -31,8 +31,8 @@
     double all = 0;
     double doneIn = std::numeric_limits<double>::lowest(); // Relative to now; negative: done.
     for (const OutstandingPrefill &prefill : prefills) {
-        all += prefill.m_readMs;
-        doneIn = std::max(doneIn, msBetween(now, prefill.m_at)) + prefill.m_readMs;
+        all += prefill.m_prefillMs;
+        doneIn = std::max(doneIn, msBetween(now, prefill.m_at)) + prefill.m_prefillMs;
     }
     return std::max(doneIn, all * OverdueShare);
 }
@@ -58,10 +58,10 @@
         return time < prefill.m_at;
     };
     for (const LoadPart &part : load.m_parts) {
-        if (part.m_readMs > 0)
+        if (part.m_prefillMs > 0)
             m_recentLongPrefills.insert(std::upper_bound(m_recentLongPrefills.begin(),
                                                          m_recentLongPrefills.end(), at, before),
-                                        { at, part.m_endpoint, part.m_readMs });
+                                        { at, part.m_endpoint, part.m_prefillMs });
     }
 }
 
@@ -72,7 +72,7 @@
     m_loads[key] = std::move(load);
 }
 
-void StreamLedger::startWriting(const LoadKey &key)
+void StreamLedger::recordFirstEvent(const LoadKey &key)
 {
     const auto found = m_loads.find(key);
     if (found != m_loads.end())
@@ -110,7 +110,7 @@
     return static_cast<uint32_t>(m_recentStrictPlacements.size());
 }
 
-ActivePrefills StreamLedger::readingLong() const
+ActivePrefills StreamLedger::activeLongPrefills() const
 {
     ActivePrefills reading;
     for (const auto &[key, load] : m_loads) {
@@ -118,10 +118,10 @@
             continue;
         double readMs = 0;
         for (const LoadPart &part : load.m_parts)
-            readMs += part.m_readMs;
+            readMs += part.m_prefillMs;
         if (readMs > 0)
             ++reading.m_prompts;
-        reading.m_readMs += readMs;
+        reading.m_prefillMs += readMs;
     }
     return reading;
 }
@@ -138,7 +138,7 @@
             use.m_tokens += part.m_tokens;
             if (!load.m_decoding)
                 prefills[part.m_endpoint].push_back(
-                    { load.m_placedAt, part.m_readMs, !load.strict() });
+                    { load.m_placedAt, part.m_prefillMs, !load.strict() });
             if (i > 0)
                 continue;
             ++use.m_attempts;
@@ -153,16 +153,16 @@
     }
     for (auto &[endpoint, outstanding] : prefills) {
         EndpointUse &use = uses[endpoint];
-        use.m_readBacklogMs = remainingPrefillMs(outstanding, now);
+        use.m_prefillBacklogMs = remainingPrefillMs(outstanding, now);
         for (const OutstandingPrefill &prefill : outstanding)
-            use.m_longPrefillMs += prefill.m_long ? prefill.m_readMs : 0;
-        use.m_longPrefillMs = std::min(use.m_longPrefillMs, use.m_readBacklogMs);
+            use.m_longPrefillMs += prefill.m_long ? prefill.m_prefillMs : 0;
+        use.m_longPrefillMs = std::min(use.m_longPrefillMs, use.m_prefillBacklogMs);
     }
     while (!m_recentLongPrefills.empty()
            && m_recentLongPrefills.front().m_at + LongPrefillWindow <= now)
         m_recentLongPrefills.pop_front();
     for (const PlacedPrefill &prefill : m_recentLongPrefills)
-        uses[prefill.m_endpoint].m_recentLongPrefillMs += prefill.m_readMs;
+        uses[prefill.m_endpoint].m_recentLongPrefillMs += prefill.m_prefillMs;
     return uses;
 }
 
--- a/policy/stream_ledger.h
+++ b/policy/stream_ledger.h
@@ -38,11 +38,11 @@
 struct LoadPart {
     EndpointId m_endpoint;
     /// Predicted prefill time on the otherwise idle endpoint; 0 for a plain service.
-    double m_readMs = 0;
+    double m_prefillMs = 0;
     uint64_t m_tokens = 0; ///< Memory that the attempt uses there.
 
     bool operator==(const LoadPart &) const = default;
-    MSGPACK_DEFINE(m_endpoint, m_readMs, m_tokens)
+    MSGPACK_DEFINE(m_endpoint, m_prefillMs, m_tokens)
 };
 
 /// One attempt in flight.
@@ -64,7 +64,7 @@
     uint32_t m_attempts = 0; ///< Attempts that it answers, in prefill or decoding.
     uint32_t m_decodingStreams = 0; ///< Of m_attempts, those with a first event.
     uint32_t m_strictAttempts = 0; ///< Of m_attempts, those whose streams are strict.
-    double m_readBacklogMs = 0; ///< Prefill left to do, including parts of others' prompts.
+    double m_prefillBacklogMs = 0; ///< Prefill left to do, including parts of others' prompts.
     double m_longPrefillMs = 0; ///< Of that, for streams that are not strict.
     /// Prefill of streams that are not strict, placed there within LongPrefillWindow.
     double m_recentLongPrefillMs = 0;
@@ -76,7 +76,7 @@
 /// Long prompts whose prefill is in progress.
 struct ActivePrefills {
     uint32_t m_prompts = 0; ///< Prompts without a first event.
-    double m_readMs = 0; ///< Predicted prefill time of all their parts.
+    double m_prefillMs = 0; ///< Predicted prefill time of all their parts.
 };
 
 using EndpointUses = std::unordered_map<EndpointId, EndpointUse>;
@@ -88,7 +88,7 @@
     /// not counted again.
     void place(const LoadKey &key, AttemptLoad load);
     /// Records that the first event of @p key came.
-    void startWriting(const LoadKey &key);
+    void recordFirstEvent(const LoadKey &key);
     /// Removes the attempt @p key. Returns false if it was not known.
     bool end(const LoadKey &key);
     /// Removes the attempts of a VM's process that has ended.
@@ -99,7 +99,7 @@
     /// Number of strict streams placed within StrictRateWindow before @p now.
     uint32_t recentStrictPlacements(TimePoint now);
     /// Long prompts of all endpoints that have no first event yet.
-    ActivePrefills readingLong() const;
+    ActivePrefills activeLongPrefills() const;
     /// Load of each endpoint at @p now. Drops expired entries. Endpoints without load are missing.
     EndpointUses uses(TimePoint now);
     /// All entries, including those that expired since the last call of uses().
@@ -111,7 +111,7 @@
     struct PlacedPrefill {
         TimePoint m_at{};
         EndpointId m_endpoint;
-        double m_readMs = 0;
+        double m_prefillMs = 0;
     };
 
     void recordDemand(const AttemptLoad &load);
--- a/policy/turn_plan.cpp
+++ b/policy/turn_plan.cpp
@@ -6,36 +6,38 @@
 
 namespace {
 
-bool meetsTarget(const TurnSettings &settings, const ModelRequest &request,
-                 const WaitingTurn &queued, const GangPlan &plan, TimePoint now)
+bool meetsTarget(const DispatchSettings &settings, const ModelRequest &request,
+                 const QueuedRequest &queued, const GangPlan &plan, TimePoint now)
 {
     // A strict stream waits only for a slot, and a retry is sent even if it will be late.
     return request.strict() || request.m_isRetry
            || isInTime(queued, plan.m_firstEvent * settings.m_predictionMargin, now);
 }
 
-TurnLook planIfNext(const TurnSettings &settings, const ModelRequest &request,
-                    const WaitingTurn &queued, bool next, const GangPlanner &plan, TimePoint now)
+DispatchDecision planIfNext(const DispatchSettings &settings, const ModelRequest &request,
+                            const QueuedRequest &queued, bool next, const GangPlanner &plan,
+                            TimePoint now)
 {
     if (!next)
-        return { std::nullopt, TurnObstacle::BehindOthers };
-    auto planned = plan(StreamCare::Spare);
+        return { std::nullopt, DispatchObstacle::BehindOthers };
+    auto planned = plan(DisruptionPolicy::Avoid);
     if (!planned)
-        return { std::nullopt, TurnObstacle::NoEligibleEngines };
+        return { std::nullopt, DispatchObstacle::NoEligibleEngines };
     if (!meetsTarget(settings, request, queued, *planned, now))
-        return { std::nullopt, TurnObstacle::EnginesBusy };
+        return { std::nullopt, DispatchObstacle::EnginesBusy };
     return { std::move(planned) };
 }
 
 /// A plan for a request that would otherwise be late, if it disrupts few streams.
-std::optional<GangPlan> disruptivePlan(const TurnSettings &settings, const EngineCosts &costs,
-                                       const ModelRequest &request, const WaitingTurn &queued,
+std::optional<GangPlan> disruptivePlan(const DispatchSettings &settings, const EngineCosts &costs,
+                                       const ModelRequest &request, const QueuedRequest &queued,
                                        const GangPlanner &plan, TimePoint now)
 {
     if (request.strict())
         return std::nullopt;
-    auto planned = plan(StreamCare::Permit);
-    const bool costly = planned && planned->m_spoilt > settings.m_maxDisruptedShare * costs.m_slots;
+    auto planned = plan(DisruptionPolicy::Permit);
+    const bool costly =
+        planned && planned->m_disruptedStreams > settings.m_maxDisruptedShare * costs.m_slots;
     if (!planned || costly || !isInTime(queued, planned->m_firstEvent, now))
         return std::nullopt;
     return planned;
@@ -43,7 +45,7 @@
 
 /// Whether the request has to be started by disruption or refused, because waiting longer would
 /// miss its latency target.
-bool cannotWaitLonger(const ModelRequest &request, const WaitingTurn &queued, TimePoint now)
+bool cannotWaitLonger(const ModelRequest &request, const QueuedRequest &queued, TimePoint now)
 {
     // A retry usually misses its latency target, so only the caller's patience limits it.
     return request.m_isRetry ? now >= queued.m_expiresAt : isTooLate(queued, now);
@@ -51,24 +53,24 @@
 
 } // namespace
 
-FloatMillis neededToBegin(const TurnSettings &settings, const EngineCosts &costs,
-                          const ModelRequest &request, size_t engines)
+FloatMillis minTimeToFirstEvent(const DispatchSettings &settings, const EngineCosts &costs,
+                                const ModelRequest &request, size_t engines)
 {
     if (request.strict())
         return prefillDuration(costs, request.m_promptTokens) + settings.m_strictFirstEventTime;
     return longPromptFirstEvent(settings, costs, request.m_promptTokens, engines);
 }
 
-WaitingTurn turnOf(const TurnSettings &settings, const EngineCosts &costs,
-                   const ModelRequest &request, size_t engines)
+QueuedRequest queuedRequestOf(const DispatchSettings &settings, const EngineCosts &costs,
+                              const ModelRequest &request, size_t engines)
 {
     const auto part = [](FloatMillis of, double share) {
         return std::chrono::duration_cast<Duration>(of * share);
     };
-    const FloatMillis toBegin = neededToBegin(settings, costs, request, engines);
+    const FloatMillis toBegin = minTimeToFirstEvent(settings, costs, request, engines);
     const Duration needed = part(toBegin, 1);
-    WaitingTurn queued;
-    queued.m_aimAt = request.m_arrival + request.m_latencyTarget;
+    QueuedRequest queued;
+    queued.m_targetAt = request.m_arrival + request.m_latencyTarget;
     queued.m_minTimeToFirstEvent = needed;
     queued.m_expiresAt =
         request.m_arrival
@@ -82,15 +84,15 @@
     const Duration past = std::max(wait + needed - request.m_latencyTarget, Duration::zero());
     const Duration reading =
         part(toBegin - settings.m_prefillOverhead, settings.m_prefillLeadShare);
-    queued.m_aimAt += past;
+    queued.m_targetAt += past;
     queued.m_minTimeToFirstEvent = std::max(needed, request.m_latencyTarget - wait);
     // The order in the queue depends on the latency target of the route and the prefill time.
-    queued.m_lead = past + std::max(reading, Duration::zero());
+    queued.m_orderLead = past + std::max(reading, Duration::zero());
     return queued;
 }
 
-StrictDemand strictDemandOf(const EngineCosts &costs, const TurnQueue &queue, StreamLedger &ledger,
-                            TimePoint now)
+StrictDemand strictDemandOf(const EngineCosts &costs, const DispatchQueue &queue,
+                            StreamLedger &ledger, TimePoint now)
 {
     StrictDemand demand;
     demand.m_waiting = static_cast<uint32_t>(queue.size());
@@ -118,18 +120,19 @@
     return load;
 }
 
-uint32_t roomOf(const TurnSettings &settings, const SideLoad &load, bool strict)
+uint32_t allowedStarts(const DispatchSettings &settings, const SideLoad &load, bool strict)
 {
     return strict ? strictStreamsAllowed(settings, load) : prefillsAllowed(settings, load);
 }
 
-bool isNext(const TurnSettings &settings, const EngineCosts &costs, const ModelRequest &request,
-            TurnQueue &queue, const LoadKey &key, const SideLoad &load, TimePoint now)
+bool mayStartNext(const DispatchSettings &settings, const EngineCosts &costs,
+                  const ModelRequest &request, DispatchQueue &queue, const LoadKey &key,
+                  const SideLoad &load, TimePoint now)
 {
     const bool strict = request.strict();
     if (!strict && isCheapPrefill(settings, costs, load, request.m_promptTokens))
         return true;
-    return mayStartNow(queue, key, roomOf(settings, load, strict), now);
+    return mayStartNow(queue, key, allowedStarts(settings, load, strict), now);
 }
 
 GangSides splitPool(const std::vector<EndpointRecord> &pool,
@@ -143,10 +146,10 @@
     return sides;
 }
 
-GangQuestion questionOf(const EngineCosts &costs, const ModelRequest &request,
-                        StreamCare disruption, TimePoint now)
+GangQuery gangQueryOf(const EngineCosts &costs, const ModelRequest &request,
+                      DisruptionPolicy disruption, TimePoint now)
 {
-    GangQuestion query;
+    GangQuery query;
     query.m_promptTokens = request.m_promptTokens;
     query.m_answerTokens = static_cast<double>(costs.m_usualAnswerTokens);
     query.m_gapLimitMs = request.m_gapLimitMs;
@@ -155,31 +158,31 @@
     return query;
 }
 
-std::string_view turnObstacleName(TurnObstacle obstacle)
+std::string_view dispatchObstacleMessage(DispatchObstacle obstacle)
 {
     switch (obstacle) {
-    case TurnObstacle::None:
+    case DispatchObstacle::None:
         return "";
-    case TurnObstacle::BehindOthers:
+    case DispatchObstacle::BehindOthers:
         return "too late: others came first";
-    case TurnObstacle::NoEligibleEngines:
+    case DispatchObstacle::NoEligibleEngines:
         return "too late: the streams of the endpoints bear no more";
-    case TurnObstacle::EnginesBusy:
+    case DispatchObstacle::EnginesBusy:
         return "too late: the endpoints have too much to read";
     }
     return "";
 }
 
-TurnLook lookForTurn(const TurnSettings &settings, const EngineCosts &costs,
-                     const ModelRequest &request, const WaitingTurn &queued, bool next,
-                     TurnObstacle before, const GangPlanner &plan, TimePoint now)
+DispatchDecision decideDispatch(const DispatchSettings &settings, const EngineCosts &costs,
+                                const ModelRequest &request, const QueuedRequest &queued, bool next,
+                                DispatchObstacle before, const GangPlanner &plan, TimePoint now)
 {
-    TurnLook look = planIfNext(settings, request, queued, next, plan, now);
+    DispatchDecision look = planIfNext(settings, request, queued, next, plan, now);
     if (look.m_plan || !cannotWaitLonger(request, queued, now))
         return look;
     look.m_plan = disruptivePlan(settings, costs, request, queued, plan, now);
     look.m_tooLate = !look.m_plan;
-    if (look.m_tooLate && before != TurnObstacle::None)
+    if (look.m_tooLate && before != DispatchObstacle::None)
         look.m_obstacle = before;
     return look;
 }
--- a/policy/turn_plan.h
+++ b/policy/turn_plan.h
@@ -31,16 +31,16 @@
 };
 
 /// Minimum time from the start of an attempt to its first event, on a pool of @p engines.
-FloatMillis neededToBegin(const TurnSettings &settings, const EngineCosts &costs,
-                          const ModelRequest &request, size_t engines);
+FloatMillis minTimeToFirstEvent(const DispatchSettings &settings, const EngineCosts &costs,
+                                const ModelRequest &request, size_t engines);
 
 /// The queue entry of @p request, on a pool of @p engines.
-WaitingTurn turnOf(const TurnSettings &settings, const EngineCosts &costs,
-                   const ModelRequest &request, size_t engines);
+QueuedRequest queuedRequestOf(const DispatchSettings &settings, const EngineCosts &costs,
+                              const ModelRequest &request, size_t engines);
 
 /// Demand for strict streams: those that wait in @p queue, and the recent arrivals in @p ledger.
-StrictDemand strictDemandOf(const EngineCosts &costs, const TurnQueue &queue, StreamLedger &ledger,
-                            TimePoint now);
+StrictDemand strictDemandOf(const EngineCosts &costs, const DispatchQueue &queue,
+                            StreamLedger &ledger, TimePoint now);
 
 /// Load of one side of @p pool: of the engines in @p strictSide if @p strict, else of the others.
 /// Leaves m_longestAim to the caller.
@@ -48,23 +48,24 @@
                     const std::unordered_set<EndpointId> &strictSide, const EndpointUses &uses,
                     const ActivePrefills &prefills, bool strict);
 /// Number of further requests of a side that may start now.
-uint32_t roomOf(const TurnSettings &settings, const SideLoad &load, bool strict);
+uint32_t allowedStarts(const DispatchSettings &settings, const SideLoad &load, bool strict);
 /// Whether @p request, which waits in @p queue as @p key, may start by the order of the queue.
 /// Drops expired requests from @p queue.
-bool isNext(const TurnSettings &settings, const EngineCosts &costs, const ModelRequest &request,
-            TurnQueue &queue, const LoadKey &key, const SideLoad &load, TimePoint now);
+bool mayStartNext(const DispatchSettings &settings, const EngineCosts &costs,
+                  const ModelRequest &request, DispatchQueue &queue, const LoadKey &key,
+                  const SideLoad &load, TimePoint now);
 
 /// Splits @p pool into the engines of the request's own side and the others. @p strict is whether
 /// the request has a strict stream.
 GangSides splitPool(const std::vector<EndpointRecord> &pool,
                     const std::unordered_set<EndpointId> &strictSide, bool strict);
 
-/// The inputs of planGang() for @p request, without m_rooms.
-GangQuestion questionOf(const EngineCosts &costs, const ModelRequest &request,
-                        StreamCare disruption, TimePoint now);
+/// The inputs of planGang() for @p request, without m_candidateQuery.
+GangQuery gangQueryOf(const EngineCosts &costs, const ModelRequest &request,
+                      DisruptionPolicy disruption, TimePoint now);
 
 /// Why a request does not start yet.
-enum class TurnObstacle {
+enum class DispatchObstacle {
     None,
     BehindOthers, ///< Others precede it in the queue.
     /// No set of engines has the memory, among those whose streams tolerate its prefill.
@@ -72,23 +73,24 @@
     EnginesBusy, ///< The prefill backlog of the engines would make it late.
 };
 /// The message of a refusal for this reason; empty for None.
-std::string_view turnObstacleName(TurnObstacle obstacle);
+std::string_view dispatchObstacleMessage(DispatchObstacle obstacle);
 
 /// Result of one decision about a waiting request.
-struct TurnLook {
+struct DispatchDecision {
     std::optional<GangPlan> m_plan; ///< Set: the request starts now.
-    TurnObstacle m_obstacle = TurnObstacle::None; ///< Without a plan: why it waits or is refused.
+    DispatchObstacle m_obstacle =
+        DispatchObstacle::None; ///< Without a plan: why it waits or is refused.
     bool m_tooLate = false; ///< Without a plan: it has to be refused.
 };
 
 /// Plans the request on the engines as they are now; no value if that is impossible.
-using GangPlanner = std::function<std::optional<GangPlan>(StreamCare)>;
+using GangPlanner = std::function<std::optional<GangPlan>(DisruptionPolicy)>;
 
 /// Decides whether @p request starts, keeps waiting, or is refused. @p next is the result of
-/// isNext(), @p before the obstacle at the previous decision. A refusal names @p before, because a
-/// request that is too late moves behind all others and would always report BehindOthers.
-TurnLook lookForTurn(const TurnSettings &settings, const EngineCosts &costs,
-                     const ModelRequest &request, const WaitingTurn &queued, bool next,
-                     TurnObstacle before, const GangPlanner &plan, TimePoint now);
+/// mayStartNext(), @p before the obstacle at the previous decision. A refusal names @p before,
+/// because a request that is too late moves behind all others and would always report BehindOthers.
+DispatchDecision decideDispatch(const DispatchSettings &settings, const EngineCosts &costs,
+                                const ModelRequest &request, const QueuedRequest &queued, bool next,
+                                DispatchObstacle before, const GangPlanner &plan, TimePoint now);
 
 } // namespace stackquay
--- a/policy/turn_queue.cpp
+++ b/policy/turn_queue.cpp
@@ -10,26 +10,26 @@
 
 /// Sort key: requests that can still meet their latency target by their latest start, then the
 /// rest.
-auto rankOf(const LoadKey &key, const WaitingTurn &queued, TimePoint now)
+auto rankOf(const LoadKey &key, const QueuedRequest &queued, TimePoint now)
 {
-    const TimePoint order = queued.m_aimAt - queued.m_lead;
+    const TimePoint order = queued.m_targetAt - queued.m_orderLead;
     return std::make_tuple(isTooLate(queued, now), order, key.m_origin, key.m_sequence);
 }
 
 FloatMillis backlogPerEngine(const SideLoad &load)
 {
-    return FloatMillis(load.m_activePrefills.m_readMs) / static_cast<double>(load.m_engines);
+    return FloatMillis(load.m_activePrefills.m_prefillMs) / static_cast<double>(load.m_engines);
 }
 
 /// Backlog of an engine below which further prompts may start.
-FloatMillis maxBacklogPerEngine(const TurnSettings &settings, const SideLoad &load)
+FloatMillis maxBacklogPerEngine(const DispatchSettings &settings, const SideLoad &load)
 {
     return load.m_longestAim * settings.m_maxBacklogShare;
 }
 
 } // namespace
 
-uint32_t aheadOf(const TurnQueue &queue, const LoadKey &key, TimePoint now)
+uint32_t requestsAhead(const DispatchQueue &queue, const LoadKey &key, TimePoint now)
 {
     const auto mine = queue.find(key);
     if (mine == queue.end())
@@ -43,25 +43,25 @@
     return ahead;
 }
 
-bool mayStartNow(TurnQueue &queue, const LoadKey &key, uint32_t room, TimePoint now)
+bool mayStartNow(DispatchQueue &queue, const LoadKey &key, uint32_t room, TimePoint now)
 {
     std::erase_if(queue, [&](const auto &entry) {
         return entry.second.m_expiresAt <= now && !(entry.first == key);
     });
-    return queue.count(key) == 0 || aheadOf(queue, key, now) < room;
+    return queue.count(key) == 0 || requestsAhead(queue, key, now) < room;
 }
 
-bool isInTime(const WaitingTurn &queued, FloatMillis firstEvent, TimePoint now)
+bool isInTime(const QueuedRequest &queued, FloatMillis firstEvent, TimePoint now)
 {
-    return now + firstEvent <= queued.m_aimAt;
+    return now + firstEvent <= queued.m_targetAt;
 }
 
-bool isTooLate(const WaitingTurn &queued, TimePoint now)
+bool isTooLate(const QueuedRequest &queued, TimePoint now)
 {
-    return now + queued.m_minTimeToFirstEvent > queued.m_aimAt;
+    return now + queued.m_minTimeToFirstEvent > queued.m_targetAt;
 }
 
-FloatMillis longPromptFirstEvent(const TurnSettings &settings, const EngineCosts &costs,
+FloatMillis longPromptFirstEvent(const DispatchSettings &settings, const EngineCosts &costs,
                                  double tokens, size_t engines)
 {
     const size_t readers = std::clamp<size_t>(engines, 1, settings.m_maxPrefillEngines);
@@ -69,21 +69,21 @@
            + settings.m_prefillOverhead;
 }
 
-bool isCheapPrefill(const TurnSettings &settings, const EngineCosts &costs, const SideLoad &load,
-                    double tokens)
+bool isCheapPrefill(const DispatchSettings &settings, const EngineCosts &costs,
+                    const SideLoad &load, double tokens)
 {
     const FloatMillis limit = maxBacklogPerEngine(settings, load) * settings.m_cheapPrefillBacklogs;
     return prefillDuration(costs, tokens) < limit && backlogPerEngine(load) < limit;
 }
 
-uint32_t prefillsAllowed(const TurnSettings &settings, const SideLoad &load)
+uint32_t prefillsAllowed(const DispatchSettings &settings, const SideLoad &load)
 {
-    if (load.m_activePrefills.m_prompts < settings.m_leastReading)
-        return settings.m_leastReading - load.m_activePrefills.m_prompts;
+    if (load.m_activePrefills.m_prompts < settings.m_minConcurrentPrefills)
+        return settings.m_minConcurrentPrefills - load.m_activePrefills.m_prompts;
     return backlogPerEngine(load) < maxBacklogPerEngine(settings, load) ? 1 : 0;
 }
 
-uint32_t strictStreamsAllowed(const TurnSettings &settings, const SideLoad &load)
+uint32_t strictStreamsAllowed(const DispatchSettings &settings, const SideLoad &load)
 {
     const double limit = std::ceil(settings.m_maxStrictSlotShare * load.m_slots);
     return static_cast<uint32_t>(std::max(limit - load.m_strictStreams, 0.0));
--- a/policy/turn_queue.h
+++ b/policy/turn_queue.h
@@ -22,37 +22,37 @@
 namespace stackquay {
 
 /// A waiting request, as all VMs see it.
-struct WaitingTurn {
-    TimePoint m_aimAt{}; ///< Latest time of a first event that is in time.
+struct QueuedRequest {
+    TimePoint m_targetAt{}; ///< Latest time of a first event that is in time.
     Duration m_minTimeToFirstEvent{}; ///< Minimum time from the start to the first event.
     TimePoint m_expiresAt{}; ///< Dropped from the queue then if its end was not reported.
-    Duration m_lead{}; ///< The queue is ordered by m_aimAt minus this.
+    Duration m_orderLead{}; ///< The queue is ordered by m_targetAt minus this.
 };
 
-using TurnQueue = std::unordered_map<LoadKey, WaitingTurn, LoadKeyHash>;
+using DispatchQueue = std::unordered_map<LoadKey, QueuedRequest, LoadKeyHash>;
 
 /// Number of requests in @p queue that start before @p key; 0 if @p key is not in the queue.
-uint32_t aheadOf(const TurnQueue &queue, const LoadKey &key, TimePoint now);
+uint32_t requestsAhead(const DispatchQueue &queue, const LoadKey &key, TimePoint now);
 
 /// Whether @p key is among the first @p room requests of @p queue, or not in it. Drops expired
 /// requests of others.
 ///
 /// All requests within @p room may start at once. If each had to wait until the one before it has
 /// left, the queue would advance only as fast as VMs poll it and exchange messages.
-bool mayStartNow(TurnQueue &queue, const LoadKey &key, uint32_t room, TimePoint now);
+bool mayStartNow(DispatchQueue &queue, const LoadKey &key, uint32_t room, TimePoint now);
 
 /// Whether a first event that comes @p firstEvent after @p now meets the latency target.
-bool isInTime(const WaitingTurn &queued, FloatMillis firstEvent, TimePoint now);
+bool isInTime(const QueuedRequest &queued, FloatMillis firstEvent, TimePoint now);
 
 /// Whether the first event would be late even if the request started now.
-bool isTooLate(const WaitingTurn &queued, TimePoint now);
+bool isTooLate(const QueuedRequest &queued, TimePoint now);
 
 /// In these settings, a long prompt is the prompt of any stream that is not strict, see
 /// isStrictGap().
-struct TurnSettings {
+struct DispatchSettings {
     /// Long prompts that may be in prefill at any load. The parts of the next prompt keep engines
     /// busy between the end of a part and the report of it.
-    uint32_t m_leastReading = 4;
+    uint32_t m_minConcurrentPrefills = 4;
     /// More long prompts may start while the prefill backlog per engine of their side is below this
     /// fraction of the longest latency target. A part counts in full until the first event. A lower
     /// limit leaves engines idle; a much higher one makes prompts late that start at the end of
@@ -105,14 +105,14 @@
 /// Expected time from the start to the first event, for a long prompt of @p tokens that had to wait
 /// in a pool of @p engines. An underestimate would let prompts start that just miss their latency
 /// target.
-FloatMillis longPromptFirstEvent(const TurnSettings &settings, const EngineCosts &costs,
+FloatMillis longPromptFirstEvent(const DispatchSettings &settings, const EngineCosts &costs,
                                  double tokens, size_t engines);
 /// Whether a long prompt is short enough to start without waiting for its place in the order.
-bool isCheapPrefill(const TurnSettings &settings, const EngineCosts &costs, const SideLoad &load,
-                    double tokens);
+bool isCheapPrefill(const DispatchSettings &settings, const EngineCosts &costs,
+                    const SideLoad &load, double tokens);
 /// Number of further long prompts that may start now.
-uint32_t prefillsAllowed(const TurnSettings &settings, const SideLoad &load);
+uint32_t prefillsAllowed(const DispatchSettings &settings, const SideLoad &load);
 /// Number of further strict streams that may start now, as slots are free.
-uint32_t strictStreamsAllowed(const TurnSettings &settings, const SideLoad &load);
+uint32_t strictStreamsAllowed(const DispatchSettings &settings, const SideLoad &load);
 
 } // namespace stackquay
--- a/relay/load_exchange.h
+++ b/relay/load_exchange.h
@@ -35,13 +35,13 @@
     uint32_t m_ageMs = 0; ///< Placed, if sent again later: time since the placement.
     bool m_writing = false; ///< Placed, if sent again later: the first event has arrived.
     uint32_t m_aimMs = 0; ///< Waiting: time until the target for the first event.
-    uint32_t m_neededMs = 0; ///< Waiting: see WaitingTurn.
+    uint32_t m_neededMs = 0; ///< Waiting: see QueuedRequest.
     /// Placed, if the request is a suspect, and Cleared: fingerprint of the request.
     std::vector<Fingerprint> m_fingerprints{};
     /// Suspected: the reports. Cleared: the process exits that are cleared.
     std::vector<SuspectNews> m_suspects{};
     uint32_t m_cell = 0; ///< Suspected and Cleared: cell of the sender.
-    uint32_t m_leadMs = 0; ///< Waiting: see WaitingTurn.
+    uint32_t m_leadMs = 0; ///< Waiting: see QueuedRequest.
 
     MSGPACK_DEFINE(m_change, m_key, m_parts, m_dataCentre, m_gapLimitMs, m_expiresMs, m_ageMs,
                    m_writing, m_aimMs, m_neededMs, m_fingerprints, m_suspects, m_cell, m_leadMs)
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -58,7 +58,7 @@
     }
     std::vector<LoadPart> parts;
     for (const GangMember &member : plan.m_members)
-        parts.push_back({ member.m_endpoint.m_id, member.m_readMs, member.m_tokens });
+        parts.push_back({ member.m_endpoint.m_id, member.m_prefillMs, member.m_tokens });
     m_node.place(m_loadKey, std::move(parts), gapLimitMs(), remainingTime() + LedgerSlack,
                  m_suspectHandling == SuspectCare::None ? std::nullopt : m_print);
     logPlacement(plan);
@@ -347,7 +347,7 @@
         if (!batch.empty()) {
             if (first) {
                 first = false;
-                m_node.startWriting(m_loadKey);
+                m_node.recordFirstEvent(m_loadKey);
                 recordSuccess(m_node.m_ejections, endpoint.m_id);
             }
             forwardEvents(head, response.m_status, batch);
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -20,15 +20,15 @@
     return static_cast<uint32_t>(std::max<Millis::rep>(count, 0));
 }
 
-LoadMessage waitingMessage(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn,
+LoadMessage waitingMessage(const LoadKey &key, uint32_t gapLimitMs, const QueuedRequest &turn,
                            TimePoint now)
 {
     LoadMessage message{ LoadChange::Waiting, key };
     message.m_gapLimitMs = gapLimitMs;
     message.m_expiresMs = millisOf(turn.m_expiresAt - now);
-    message.m_aimMs = millisOf(turn.m_aimAt - now);
+    message.m_aimMs = millisOf(turn.m_targetAt - now);
     message.m_neededMs = millisOf(turn.m_minTimeToFirstEvent);
-    message.m_leadMs = millisOf(turn.m_lead);
+    message.m_leadMs = millisOf(turn.m_orderLead);
     return message;
 }
 
@@ -89,7 +89,7 @@
     return message;
 }
 
-TurnQueue &RelayNode::queueOf(uint32_t gapLimitMs)
+DispatchQueue &RelayNode::queueOf(uint32_t gapLimitMs)
 {
     return isStrictGap(gapLimitMs) ? m_strictQueue : m_longQueue;
 }
@@ -99,7 +99,7 @@
     return m_strictQueue.erase(key) + m_longQueue.erase(key) > 0;
 }
 
-void RelayNode::announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn)
+void RelayNode::announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const QueuedRequest &turn)
 {
     m_loads.send(waitingMessage(key, gapLimitMs, turn, Clock::now()));
     queueOf(gapLimitMs)[key] = turn;
@@ -117,9 +117,9 @@
     m_ledger.place(key, std::move(load));
 }
 
-void RelayNode::startWriting(const LoadKey &key)
+void RelayNode::recordFirstEvent(const LoadKey &key)
 {
-    m_ledger.startWriting(key);
+    m_ledger.recordFirstEvent(key);
     m_loads.send(LoadMessage{ LoadChange::FirstEvent, key });
 }
 
@@ -141,14 +141,14 @@
     if (m_readySince == TimePoint{})
         m_readySince = now;
     StrictDemand demand = strictDemandOf(costs, m_strictQueue, m_ledger, now);
-    demand.m_blind = now - m_readySince < LoadLearningTime;
+    demand.m_peerLoadUnknown = now - m_readySince < LoadLearningTime;
     return strictEngines(m_splits[service], pool, uses, demand, now);
 }
 
 void RelayNode::forgetProcess(uint64_t origin)
 {
     m_ledger.forgetOrigin(origin);
-    for (TurnQueue *queue : { &m_strictQueue, &m_longQueue }) {
+    for (DispatchQueue *queue : { &m_strictQueue, &m_longQueue }) {
         std::erase_if(*queue,
                       [origin](const auto &entry) { return entry.first.m_origin == origin; });
     }
@@ -195,7 +195,7 @@
 std::vector<LoadMessage> RelayNode::ownTurns(TimePoint now) const
 {
     std::vector<LoadMessage> messages;
-    const auto add = [&](const TurnQueue &queue, uint32_t gapLimitMs) {
+    const auto add = [&](const DispatchQueue &queue, uint32_t gapLimitMs) {
         for (const auto &[key, turn] : queue) {
             if (key.m_origin == m_origin && turn.m_expiresAt > now)
                 messages.push_back(waitingMessage(key, gapLimitMs, turn, now));
@@ -311,7 +311,7 @@
         return;
     case LoadChange::FirstEvent:
         recordResponse(message.m_key);
-        m_ledger.startWriting(message.m_key);
+        m_ledger.recordFirstEvent(message.m_key);
         return;
     case LoadChange::Ended:
         removeFromQueues(message.m_key);
--- a/relay/relay_node.h
+++ b/relay/relay_node.h
@@ -38,9 +38,9 @@
     EjectionTable m_ejections;
     RetryWindows m_retries;
     GangSettings m_gang;
-    TurnSettings m_turns;
-    TurnQueue m_strictQueue; ///< Streams with a strict gap limit that wait for a slot.
-    TurnQueue m_longQueue; ///< Long prompts that wait for their prefill.
+    DispatchSettings m_turns;
+    DispatchQueue m_strictQueue; ///< Streams with a strict gap limit that wait for a slot.
+    DispatchQueue m_longQueue; ///< Long prompts that wait for their prefill.
     std::unordered_map<ServiceId, PoolSplit> m_splits;
     LoadExchange m_loads;
     SuspectTracker m_suspects;
@@ -52,14 +52,14 @@
 
     /// A unique key for the next attempt.
     LoadKey nextKey() { return { m_origin, ++m_sequence }; }
-    TurnQueue &queueOf(uint32_t gapLimitMs);
+    DispatchQueue &queueOf(uint32_t gapLimitMs);
     /// Announces to all VMs that a request waits in a queue, until place() or end().
-    void announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const WaitingTurn &turn);
+    void announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const QueuedRequest &turn);
     /// Enters an attempt into the ledgers of all VMs; @p suspect is the request's fingerprint if it
     /// is a suspect. @p lifetime bounds the ledger entry.
     void place(const LoadKey &key, std::vector<LoadPart> parts, uint32_t gapLimitMs,
                Duration lifetime, const std::optional<Fingerprint> &suspect = std::nullopt);
-    void startWriting(const LoadKey &key);
+    void recordFirstEvent(const LoadKey &key);
     /// Announces to all VMs that the attempt or wait has ended. Idempotent.
     void end(const LoadKey &key);
     /// Removes what a VM's process, which has exited, had placed or queued.
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -43,7 +43,7 @@
     return seen;
 }
 
-std::optional<GangPlan> RelayRun::choosePlan(StreamCare care, const PoolState &seen)
+std::optional<GangPlan> RelayRun::choosePlan(DisruptionPolicy care, const PoolState &seen)
 {
     const std::vector<EndpointRecord> pool = candidates();
     const auto places =
@@ -56,7 +56,7 @@
 }
 
 std::optional<GangPlan> RelayRun::planWithin(const std::vector<EndpointRecord> &pool,
-                                             StreamCare care, const PoolState &seen)
+                                             DisruptionPolicy care, const PoolState &seen)
 {
     const DataCentreId &here = m_node.m_settings.m_dataCentre;
     if (!isModelRequest()) {
@@ -67,9 +67,9 @@
     }
     const EngineCosts &costs = *m_service->m_engine;
     const ModelRequest request = modelRequest();
-    GangQuestion question = questionOf(costs, request, care, Clock::now());
-    question.m_rooms.m_dataCentre = here;
-    question.m_rooms.m_draw = [this] {
+    GangQuery question = gangQueryOf(costs, request, care, Clock::now());
+    question.m_candidateQuery.m_dataCentre = here;
+    question.m_candidateQuery.m_drawJitter = [this] {
         return std::uniform_real_distribution<double>(0, 1)(m_node.m_random);
     };
     return planGang(m_node.m_gang, costs, splitPool(pool, seen.m_strictSide, request.strict()),
@@ -101,7 +101,7 @@
     if (!pool)
         return {};
     SideLoad load = sideLoadOf(*m_service->m_engine, *pool, seen.m_strictSide, seen.m_uses,
-                               m_node.m_ledger.readingLong(), isStrictGap(gapLimitMs()));
+                               m_node.m_ledger.activeLongPrefills(), isStrictGap(gapLimitMs()));
     load.m_longestAim = m_service->m_longestAim;
     return load;
 }
@@ -120,12 +120,13 @@
     const EngineCosts &costs = *m_service->m_engine;
     const auto usual = static_cast<double>(costs.m_usualAnswerTokens);
     const auto limit = static_cast<double>(m_head.m_answerTokens);
-    const FloatMillis needed = neededToBegin(m_node.m_turns, costs, modelRequest(), poolSize());
+    const FloatMillis needed =
+        minTimeToFirstEvent(m_node.m_turns, costs, modelRequest(), poolSize());
     // With slack, the request's token limit; without, the usual length.
     double answer = usual * slack;
     if (limit > 0)
         answer = slack > 1 ? limit : std::min(usual, limit);
-    return std::chrono::duration_cast<Duration>(needed * slack + writeTime(costs, answer));
+    return std::chrono::duration_cast<Duration>(needed * slack + decodeDuration(costs, answer));
 }
 
 RequestTime RelayRun::timeNeeded() const
@@ -146,39 +147,39 @@
     return !canEnd(view->m_drain, Clock::now(), std::min(timeToComplete(NoSlack), remainingTime()));
 }
 
-TurnLook RelayRun::checkTurn(const WaitingTurn &turn, TurnObstacle before)
+DispatchDecision RelayRun::checkTurn(const QueuedRequest &turn, DispatchObstacle before)
 {
     const ModelRequest request = modelRequest();
     const TimePoint now = Clock::now();
     const EngineCosts &costs = *m_service->m_engine;
     const PoolState seen = poolState();
     const bool next = poolSize() == 0
-                      || isNext(m_node.m_turns, costs, request, m_node.queueOf(gapLimitMs()),
-                                m_loadKey, sideLoad(seen), now);
-    return lookForTurn(
+                      || mayStartNext(m_node.m_turns, costs, request, m_node.queueOf(gapLimitMs()),
+                                      m_loadKey, sideLoad(seen), now);
+    return decideDispatch(
         m_node.m_turns, costs, request, turn, next, before,
-        [this, &seen](StreamCare care) { return choosePlan(care, seen); }, now);
+        [this, &seen](DisruptionPolicy care) { return choosePlan(care, seen); }, now);
 }
 
 std::optional<GangPlan> RelayRun::awaitTurn()
 {
     if (!isModelRequest())
-        return choosePlan(StreamCare::Spare, poolState());
-    const WaitingTurn turn =
-        turnOf(m_node.m_turns, *m_service->m_engine, modelRequest(), poolSize());
+        return choosePlan(DisruptionPolicy::Avoid, poolState());
+    const QueuedRequest turn =
+        queuedRequestOf(m_node.m_turns, *m_service->m_engine, modelRequest(), poolSize());
     m_node.queueOf(gapLimitMs())[m_loadKey] = turn;
     bool announced = false;
-    TurnObstacle obstacle = TurnObstacle::None;
+    DispatchObstacle obstacle = DispatchObstacle::None;
     for (;;) {
         // Refused now if it cannot finish in time, so that another VM can still serve it.
         const bool cannotFinish = m_node.m_stopping || cannotFinishInDrain();
         if (!cannotFinish) {
-            TurnLook now = checkTurn(turn, obstacle);
+            DispatchDecision now = checkTurn(turn, obstacle);
             if (now.m_plan)
                 return std::move(now.m_plan);
             obstacle = now.m_obstacle;
             if (now.m_tooLate) {
-                m_failureReason = turnObstacleName(obstacle);
+                m_failureReason = dispatchObstacleMessage(obstacle);
                 logTooLate(turn);
                 return std::nullopt;
             }
@@ -194,23 +195,23 @@
     }
 }
 
-void RelayRun::logTooLate(const WaitingTurn &turn) const
+void RelayRun::logTooLate(const QueuedRequest &turn) const
 {
     const TimePoint now = Clock::now();
     const SideLoad load = sideLoad(poolState());
-    const TurnQueue &queue = m_node.queueOf(gapLimitMs());
+    const DispatchQueue &queue = m_node.queueOf(gapLimitMs());
     DecisionLine("relay", "too late to begin")
         .text("request", m_head.m_id.str())
         .text("why", m_failureReason)
         .number("tokens", static_cast<int64_t>(m_head.m_promptTokens))
         .number("wait_ms", std::chrono::duration_cast<Millis>(now - m_arrival).count())
         .number("needed_ms", std::chrono::duration_cast<Millis>(turn.m_minTimeToFirstEvent).count())
-        .number("ahead", aheadOf(queue, m_loadKey, now))
+        .number("ahead", requestsAhead(queue, m_loadKey, now))
         .number("waiting", static_cast<int64_t>(queue.size()))
-        .number("room", roomOf(m_node.m_turns, load, isStrictGap(gapLimitMs())))
+        .number("room", allowedStarts(m_node.m_turns, load, isStrictGap(gapLimitMs())))
         .number("engines", static_cast<int64_t>(load.m_engines))
         .number("reading", load.m_activePrefills.m_prompts)
-        .number("read_ms", static_cast<int64_t>(load.m_activePrefills.m_readMs))
+        .number("read_ms", static_cast<int64_t>(load.m_activePrefills.m_prefillMs))
         .write();
 }
 
@@ -221,9 +222,9 @@
         .text("request", m_head.m_id.str())
         .text("endpoint", first.m_endpoint.m_id.str())
         .number("width", static_cast<int64_t>(plan.m_members.size()))
-        .number("part_ms", static_cast<int64_t>(first.m_readMs))
+        .number("part_ms", static_cast<int64_t>(first.m_prefillMs))
         .number("predicted_ms", static_cast<int64_t>(plan.m_firstEvent.count()))
-        .number("spoilt", plan.m_spoilt)
+        .number("spoilt", plan.m_disruptedStreams)
         .number("wait_ms", std::chrono::duration_cast<Millis>(Clock::now() - m_arrival).count())
         .number("in_flight", static_cast<int64_t>(m_node.m_ledger.size()))
         .number("tried", static_cast<int64_t>(m_triedEndpoints.size()))
--- a/relay/relay_run.h
+++ b/relay/relay_run.h
@@ -61,14 +61,14 @@
         std::unordered_set<EndpointId> m_strictSide; ///< Empty for a plain service.
     };
     PoolState poolState() const;
-    std::optional<GangPlan> choosePlan(StreamCare care, const PoolState &seen);
+    std::optional<GangPlan> choosePlan(DisruptionPolicy care, const PoolState &seen);
     bool isModelRequest() const;
     uint32_t gapLimitMs() const { return static_cast<uint32_t>(m_route->m_gapAim.count()); }
     /// Blocks until this request may begin, and returns its placement. Nothing if the request ends
     /// before, or, for a request that needs no turn, if no endpoint can take it.
     std::optional<GangPlan> awaitTurn();
     /// Checks whether the request may begin now.
-    TurnLook checkTurn(const WaitingTurn &turn, TurnObstacle before);
+    DispatchDecision checkTurn(const QueuedRequest &turn, DispatchObstacle before);
     ModelRequest modelRequest() const;
     /// The current load of the engines that serve this request's kind of stream.
     SideLoad sideLoad(const PoolState &seen) const;
@@ -83,11 +83,11 @@
     bool cannotFinishInDrain() const;
     std::vector<EndpointRecord> candidates() const;
     /// A placement on endpoints of @p pool; nothing if none can take the request.
-    std::optional<GangPlan> planWithin(const std::vector<EndpointRecord> &pool, StreamCare care,
-                                       const PoolState &seen);
+    std::optional<GangPlan> planWithin(const std::vector<EndpointRecord> &pool,
+                                       DisruptionPolicy care, const PoolState &seen);
     void logPlacement(const GangPlan &plan) const;
     /// Logs why a request is refused that can no longer begin in time.
-    void logTooLate(const WaitingTurn &turn) const;
+    void logTooLate(const QueuedRequest &turn) const;
 
     // relay_attempt.cpp
     AttemptResult attempt(const GangPlan &plan);
--- a/tests/platform/join_test.cpp
+++ b/tests/platform/join_test.cpp
@@ -152,14 +152,14 @@
         // Parts of 100 ms each, of which 400 ms are over; and the one whose life ends first.
         const EndpointUses uses = node.m_ledger.uses(now);
         ASSERT_EQ(uses.count(EndpointId("i-engine-1")), 1u);
-        EXPECT_LT(uses.at(EndpointId("i-engine-1")).m_readBacklogMs, gangs * 100.0 - 350);
+        EXPECT_LT(uses.at(EndpointId("i-engine-1")).m_prefillBacklogMs, gangs * 100.0 - 350);
         const EndpointUses later = node.m_ledger.uses(now + Millis(1'150));
         EXPECT_EQ(later.at(EndpointId("i-engine-0")).m_attempts, gangs);
         ASSERT_EQ(node.m_longQueue.size(), 1u);
-        const WaitingTurn &turn = node.m_longQueue.begin()->second;
+        const QueuedRequest &turn = node.m_longQueue.begin()->second;
         EXPECT_EQ(turn.m_minTimeToFirstEvent, Duration(Millis(700)));
-        EXPECT_LT(turn.m_aimAt, now + Millis(4'700));
-        EXPECT_GT(turn.m_aimAt, now + Millis(3'000));
+        EXPECT_LT(turn.m_targetAt, now + Millis(4'700));
+        EXPECT_GT(turn.m_targetAt, now + Millis(3'000));
     });
 }
 
--- a/tests/platform/relay_test.cpp
+++ b/tests/platform/relay_test.cpp
@@ -361,7 +361,7 @@
     std::promise<void> filled;
     node.m_thread.post([&] {
         constexpr double EndlessMs = 1e6;
-        for (uint64_t i = 0; i < node.m_turns.m_leastReading; ++i) {
+        for (uint64_t i = 0; i < node.m_turns.m_minConcurrentPrefills; ++i) {
             node.m_ledger.place({ 1, i }, { { { EndpointId("worker-1"), EndlessMs, 0 } },
                                             1'000,
                                             false,
--- a/tests/policy/gang_plan_test.cpp
+++ b/tests/policy/gang_plan_test.cpp
@@ -37,9 +37,9 @@
     return { std::move(parts), gapLimitMs, false, at, at + Seconds(10) };
 }
 
-GangQuestion strictQuery(double tokens)
+GangQuery strictQuery(double tokens)
 {
-    GangQuestion query;
+    GangQuery query;
     query.m_promptTokens = tokens;
     query.m_answerTokens = 1'300;
     query.m_gapLimitMs = 250;
@@ -47,9 +47,9 @@
     return query;
 }
 
-GangQuestion longQuery(double tokens)
+GangQuery longQuery(double tokens)
 {
-    GangQuestion query = strictQuery(tokens);
+    GangQuery query = strictQuery(tokens);
     query.m_gapLimitMs = 1'000;
     query.m_timeLeft = FloatMillis(2'500);
     return query;
@@ -73,16 +73,16 @@
     EXPECT_EQ(uses[pool[0].m_id].m_attempts, 2u);
     EXPECT_EQ(uses[pool[0].m_id].m_strictAttempts, 1u);
     EXPECT_EQ(uses[pool[0].m_id].m_tokens, 8'000u);
-    EXPECT_DOUBLE_EQ(uses[pool[0].m_id].m_readBacklogMs, 120);
+    EXPECT_DOUBLE_EQ(uses[pool[0].m_id].m_prefillBacklogMs, 120);
     EXPECT_DOUBLE_EQ(uses[pool[0].m_id].m_longPrefillMs, 100);
     EXPECT_EQ(uses[pool[1].m_id].m_attempts, 0u);
-    EXPECT_DOUBLE_EQ(uses[pool[1].m_id].m_readBacklogMs, 100);
-    EXPECT_EQ(ledger.readingLong().m_prompts, 1u);
-    EXPECT_DOUBLE_EQ(ledger.readingLong().m_readMs, 200);
-    ledger.startWriting({ 1, 1 });
-    EXPECT_EQ(ledger.readingLong().m_prompts, 0u);
+    EXPECT_DOUBLE_EQ(uses[pool[1].m_id].m_prefillBacklogMs, 100);
+    EXPECT_EQ(ledger.activeLongPrefills().m_prompts, 1u);
+    EXPECT_DOUBLE_EQ(ledger.activeLongPrefills().m_prefillMs, 200);
+    ledger.recordFirstEvent({ 1, 1 });
+    EXPECT_EQ(ledger.activeLongPrefills().m_prompts, 0u);
     uses = ledger.uses(Start);
-    EXPECT_DOUBLE_EQ(uses[pool[1].m_id].m_readBacklogMs, 0);
+    EXPECT_DOUBLE_EQ(uses[pool[1].m_id].m_prefillBacklogMs, 0);
     EXPECT_EQ(uses[pool[0].m_id].m_decodingStreams, 1u);
     ledger.end({ 1, 1 });
     ledger.forgetOrigin(1);
@@ -142,8 +142,8 @@
     ledger.place({ 1, 1 }, load({ part(pool[1], 3'000), part(pool[0], 300) }, 1'000));
     const TimePoint later = Start + Seconds(1);
     ledger.place({ 1, 2 }, load({ part(pool[0], 400) }, 1'000, later));
-    EXPECT_DOUBLE_EQ(ledger.uses(later)[pool[0].m_id].m_readBacklogMs, 400);
-    EXPECT_DOUBLE_EQ(ledger.uses(later + Millis(100))[pool[0].m_id].m_readBacklogMs, 300);
+    EXPECT_DOUBLE_EQ(ledger.uses(later)[pool[0].m_id].m_prefillBacklogMs, 400);
+    EXPECT_DOUBLE_EQ(ledger.uses(later + Millis(100))[pool[0].m_id].m_prefillBacklogMs, 300);
 }
 
 TEST(StreamLedgerTest, SumsUpTheSmallestGapLimit)
@@ -179,7 +179,7 @@
     EXPECT_EQ(plan->m_members.size(), 14u);
     const double whole = prefillDuration(declaredEngineCosts(), 133'000).count();
     for (const GangMember &member : plan->m_members) {
-        EXPECT_NEAR(member.m_readMs, whole / 14, 0.01);
+        EXPECT_NEAR(member.m_prefillMs, whole / 14, 0.01);
         EXPECT_FALSE(member.m_reserve);
     }
 }
@@ -191,7 +191,7 @@
     StreamLedger ledger;
     for (uint64_t i = 0; i < 17; ++i) {
         ledger.place({ 1, i }, load({ part(others[i], 0, 5'000) }, 250));
-        ledger.startWriting({ 1, i });
+        ledger.recordFirstEvent({ 1, i });
     }
     const EndpointUses uses = ledger.uses(Start);
     const auto usual =
@@ -200,7 +200,7 @@
     EXPECT_EQ(usual->m_members.size(), 17u);
     // The part and a pass together stay below the gap limit of 250 ms.
     for (const GangMember &member : usual->m_members)
-        EXPECT_LE(member.m_readMs, 110);
+        EXPECT_LE(member.m_prefillMs, 110);
     const auto huge =
         planGang({}, declaredEngineCosts(), { own, others }, uses, longQuery(200'000));
     ASSERT_TRUE(huge);
@@ -256,20 +256,20 @@
     StreamLedger ledger;
     for (uint64_t i = 0; i < 7; ++i) {
         ledger.place({ 1, i }, load({ part(own[i], 0, 130'000) }, 600));
-        ledger.startWriting({ 1, i });
+        ledger.recordFirstEvent({ 1, i });
         ledger.place({ 2, i }, load({ part(own[13], 0), part(own[i], 60.0 * i) }, 0));
     }
     const EndpointUses uses = ledger.uses(Start);
     const auto plan = planGang({}, costs, { own, {} }, uses, longQuery(300'000));
     ASSERT_TRUE(plan);
-    EXPECT_EQ(plan->m_spoilt, 0u);
+    EXPECT_EQ(plan->m_disruptedStreams, 0u);
     EXPECT_GE(plan->m_members.size(), 7u);
     for (const GangMember &member : plan->m_members) {
         const auto use = uses.find(member.m_endpoint.m_id);
         if (use == uses.end() || use->second.m_minGapLimitMs == 0)
             continue;
         const double pass = passTime(costs, 1, 130'000).count();
-        EXPECT_LE(member.m_readMs + use->second.m_readBacklogMs + pass,
+        EXPECT_LE(member.m_prefillMs + use->second.m_prefillBacklogMs + pass,
                   use->second.m_minGapLimitMs);
     }
 }
@@ -280,12 +280,12 @@
     StreamLedger ledger;
     for (uint64_t i = 0; i < 8; ++i)
         ledger.place({ 1, i }, load({ part(own[i % 4], 0, 5'000) }, 100));
-    GangQuestion query = longQuery(133'000);
+    GangQuery query = longQuery(133'000);
     EXPECT_FALSE(planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), query));
-    query.m_disruption = StreamCare::Permit;
+    query.m_disruption = DisruptionPolicy::Permit;
     const auto plan = planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), query);
     ASSERT_TRUE(plan);
-    EXPECT_EQ(plan->m_spoilt, 8u);
+    EXPECT_EQ(plan->m_disruptedStreams, 8u);
 }
 
 // Answers gather on engines that already decode, so that the other engines stay free for prefills.
@@ -294,7 +294,7 @@
     const auto own = engines(0, 14);
     StreamLedger ledger;
     ledger.place({ 1, 1 }, load({ part(own[5], 0, 50'000) }, 1'000));
-    ledger.startWriting({ 1, 1 });
+    ledger.recordFirstEvent({ 1, 1 });
     const auto plan =
         planGang({}, declaredEngineCosts(), { own, {} }, ledger.uses(Start), longQuery(133'000));
     ASSERT_TRUE(plan);
@@ -398,7 +398,7 @@
     for (uint64_t i = 0; i < 8; ++i)
         ledger.place({ 1, i }, load({ part(pool[i % 4], 0, 5'000) }, 250));
     const SideLoad side = sideLoadOf(declaredEngineCosts(), pool, { pool[0].m_id },
-                                     ledger.uses(Start), ledger.readingLong(), true);
+                                     ledger.uses(Start), ledger.activeLongPrefills(), true);
     EXPECT_EQ(side.m_engines, 1u);
     EXPECT_EQ(side.m_strictStreams, 2u);
 }
@@ -406,10 +406,10 @@
 // A longer latency target permits a larger prefill backlog.
 TEST(DispatchQueueTest, AllowedPrefillsDependOnTheLatencyTarget)
 {
-    const TurnSettings settings;
+    const DispatchSettings settings;
     SideLoad load;
     load.m_engines = 10;
-    load.m_activePrefills = { settings.m_leastReading, 8'000 };
+    load.m_activePrefills = { settings.m_minConcurrentPrefills, 8'000 };
     load.m_longestAim = Seconds(2);
     EXPECT_EQ(prefillsAllowed(settings, load), 0u);
     load.m_longestAim = Seconds(4);
@@ -432,7 +432,7 @@
 {
     PoolSplit split;
     StrictDemand demand;
-    demand.m_blind = true;
+    demand.m_peerLoadUnknown = true;
     EXPECT_EQ(strictEngines(split, engines(0, 18), {}, demand, Start).size(), 9u);
 }
 
@@ -441,8 +441,10 @@
     RandomEngine random(3);
     std::unordered_set<EndpointId> chosen;
     for (int vm = 0; vm < 40; ++vm) {
-        GangQuestion query = strictQuery(5'000);
-        query.m_rooms.m_draw = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
+        GangQuery query = strictQuery(5'000);
+        query.m_candidateQuery.m_drawJitter = [&] {
+            return std::uniform_real_distribution<double>(0, 1)(random);
+        };
         const auto plan = planGang({}, declaredEngineCosts(), { engines(0, 9), {} }, {}, query);
         chosen.insert(plan->m_members[0].m_endpoint.m_id);
     }
@@ -465,7 +467,7 @@
     const LoadKey late{ 1, 1 };
     const LoadKey early{ 1, 2 };
     const LoadKey other{ 1, 3 };
-    TurnQueue queue;
+    DispatchQueue queue;
     queue[late] = { Start + Millis(99), Millis(100), Start + Seconds(9) };
     queue[early] = { Start + Millis(500), Millis(100), Start + Seconds(9) };
     queue[other] = { Start + Millis(900), Millis(100), Start + Seconds(9) };
@@ -483,7 +485,7 @@
 // free.
 TEST(DispatchQueueTest, AllRequestsWithinTheLimitStartAtOnce)
 {
-    TurnQueue queue;
+    DispatchQueue queue;
     for (uint64_t i = 1; i <= 5; ++i)
         queue[{ 1, i }] = { Start + Millis(500 + i), Millis(100), Start + Seconds(9) };
     EXPECT_TRUE(mayStartNow(queue, { 1, 3 }, 3, Start));
@@ -495,7 +497,7 @@
 {
     const LoadKey gone{ 1, 1 };
     const LoadKey mine{ 2, 1 };
-    TurnQueue queue;
+    DispatchQueue queue;
     queue[gone] = { Start + Seconds(3), Millis(100), Start + Seconds(2) };
     queue[mine] = { Start + Seconds(4), Millis(100), Start + Seconds(9) };
     EXPECT_FALSE(mayStartNow(queue, mine, 1, Start));
@@ -504,7 +506,7 @@
 
 TEST(DispatchQueueTest, DetectsRequestsThatCannotBeInTime)
 {
-    const WaitingTurn queued{ Start + Millis(3'000), Millis(1'000), Start + Seconds(9) };
+    const QueuedRequest queued{ Start + Millis(3'000), Millis(1'000), Start + Seconds(9) };
     EXPECT_FALSE(isTooLate(queued, Start + Millis(2'000)));
     EXPECT_TRUE(isTooLate(queued, Start + Millis(2'001)));
     EXPECT_TRUE(isInTime(queued, FloatMillis(1'500), Start + Millis(1'500)));
@@ -513,19 +515,19 @@
 
 TEST(DispatchQueueTest, AllowedStartsDependOnTheLoad)
 {
-    const TurnSettings settings;
+    const DispatchSettings settings;
     SideLoad load;
     load.m_longestAim = Seconds(3);
     load.m_engines = 4;
     load.m_slots = 64;
-    load.m_activePrefills = { settings.m_leastReading - 1, 10'000 };
+    load.m_activePrefills = { settings.m_minConcurrentPrefills - 1, 10'000 };
     EXPECT_EQ(prefillsAllowed(settings, load), 1u);
-    load.m_activePrefills = { settings.m_leastReading, 10'000 };
+    load.m_activePrefills = { settings.m_minConcurrentPrefills, 10'000 };
     EXPECT_EQ(prefillsAllowed(settings, load), 0u);
-    load.m_activePrefills = { settings.m_leastReading, 100 };
+    load.m_activePrefills = { settings.m_minConcurrentPrefills, 100 };
     EXPECT_EQ(prefillsAllowed(settings, load), 1u);
     load.m_activePrefills = { 0, 0 };
-    EXPECT_EQ(prefillsAllowed(settings, load), settings.m_leastReading);
+    EXPECT_EQ(prefillsAllowed(settings, load), settings.m_minConcurrentPrefills);
     load.m_strictStreams = 60;
     EXPECT_EQ(strictStreamsAllowed(settings, load), 1u);
     load.m_strictStreams = 61;
@@ -538,7 +540,7 @@
 // in prefill.
 TEST(DispatchQueueTest, LargePoolsPrefillMorePromptsConcurrently)
 {
-    const TurnSettings settings;
+    const DispatchSettings settings;
     const double read = prefillDuration(declaredEngineCosts(), 190'000).count();
     SideLoad load;
     load.m_longestAim = Seconds(3);
@@ -559,26 +561,27 @@
     request.m_latencyTarget = Seconds(3);
     request.m_arrival = Start;
     request.m_deadline = Start + Seconds(60);
-    const WaitingTurn queued = turnOf({}, declaredEngineCosts(), request, 18);
-    const GangPlanner noPlan = [](StreamCare) { return std::nullopt; };
-    const auto lookAt = [&](Millis after, bool next, TurnObstacle before) {
-        return lookForTurn({}, declaredEngineCosts(), request, queued, next, before, noPlan,
-                           Start + after);
+    const QueuedRequest queued = queuedRequestOf({}, declaredEngineCosts(), request, 18);
+    const GangPlanner noPlan = [](DisruptionPolicy) { return std::nullopt; };
+    const auto lookAt = [&](Millis after, bool next, DispatchObstacle before) {
+        return decideDispatch({}, declaredEngineCosts(), request, queued, next, before, noPlan,
+                              Start + after);
     };
-    EXPECT_EQ(lookAt(Millis(100), true, TurnObstacle::None).m_obstacle,
-              TurnObstacle::NoEligibleEngines);
-    const TurnLook refused = lookAt(Millis(2'500), false, TurnObstacle::NoEligibleEngines);
+    EXPECT_EQ(lookAt(Millis(100), true, DispatchObstacle::None).m_obstacle,
+              DispatchObstacle::NoEligibleEngines);
+    const DispatchDecision refused =
+        lookAt(Millis(2'500), false, DispatchObstacle::NoEligibleEngines);
     EXPECT_TRUE(refused.m_tooLate);
-    EXPECT_EQ(refused.m_obstacle, TurnObstacle::NoEligibleEngines);
-    EXPECT_EQ(lookAt(Millis(2'500), false, TurnObstacle::None).m_obstacle,
-              TurnObstacle::BehindOthers);
+    EXPECT_EQ(refused.m_obstacle, DispatchObstacle::NoEligibleEngines);
+    EXPECT_EQ(lookAt(Millis(2'500), false, DispatchObstacle::None).m_obstacle,
+              DispatchObstacle::BehindOthers);
 }
 
 // If the limit grew with the pool, half of all long prompts in a large pool would bypass the queue,
 // and the larger half would be refused behind them.
 TEST(DispatchQueueTest, CheapPrefillLimitDoesNotGrowWithThePool)
 {
-    const TurnSettings settings;
+    const DispatchSettings settings;
     SideLoad load;
     load.m_longestAim = Seconds(3);
     for (const size_t engines : { 4, 18, 75, 300 }) {
@@ -592,7 +595,7 @@
 // prompts too late: 180 k tokens took 0.7 to 0.85 s there with a full backlog.
 TEST(DispatchQueueTest, FirstEventEstimateUsesTheLimitOfEngines)
 {
-    const TurnSettings settings;
+    const DispatchSettings settings;
     const FloatMillis needed = longPromptFirstEvent(settings, declaredEngineCosts(), 180'000, 60);
     EXPECT_EQ(needed, longPromptFirstEvent(settings, declaredEngineCosts(), 180'000,
                                            settings.m_maxPrefillEngines));
--- a/tests/policy/long_set_test.cpp
+++ b/tests/policy/long_set_test.cpp
@@ -14,7 +14,7 @@
     TimePoint now = Start;
     for (int i = 0; i < 600; ++i) {
         now += Seconds(1);
-        noteLongDemand(set, Seconds(6), now);
+        recordLongDemand(set, Seconds(6), now);
         resizeLongSet(set, 20, now);
     }
     EXPECT_NEAR(longDemand(set, now), 6, 0.1);
@@ -35,7 +35,7 @@
     uint32_t last = resizeLongSet(set, 20, now);
     for (int i = 0; i < 7'200; ++i) {
         now += Millis(500);
-        noteLongDemand(set, Millis(1'000 + random() % 2'000), now);
+        recordLongDemand(set, Millis(1'000 + random() % 2'000), now);
         const auto size = resizeLongSet(set, 20, now);
         changes += i > 600 && size != last;
         last = size;
@@ -47,7 +47,7 @@
 TEST(LongSetTest, HasAtLeastOneEngineAndLeavesSomeToShortPrompts)
 {
     LongSet set;
-    noteLongDemand(set, Seconds(100'000), Start);
+    recordLongDemand(set, Seconds(100'000), Start);
     EXPECT_EQ(resizeLongSet(set, 20, Start), 15u);
     EXPECT_EQ(resizeLongSet(set, 1, Start), 1u);
     EXPECT_EQ(resizeLongSet(set, 0, Start), 1u);
--- a/tests/policy/pool_loads.cpp
+++ b/tests/policy/pool_loads.cpp
@@ -11,7 +11,7 @@
     costs.m_step = FloatMillis(1.02);
     costs.m_stepPerSequence = FloatMillis(0.00226);
     costs.m_stepPerThousandContext = FloatMillis(0.00431);
-    costs.m_readTokensPerSecond = 206'000;
+    costs.m_prefillTokensPerSecond = 206'000;
     costs.m_perMillionPairs = FloatMillis(0.138);
     costs.m_usualAnswerTokens = 1'300;
     return costs;
@@ -26,7 +26,7 @@
     costs.m_step = FloatMillis(1.31);
     costs.m_stepPerSequence = FloatMillis(0.000917);
     costs.m_stepPerThousandContext = FloatMillis(0.00213);
-    costs.m_readTokensPerSecond = 154'000;
+    costs.m_prefillTokensPerSecond = 154'000;
     costs.m_perMillionPairs = FloatMillis(0.162);
     return costs;
 }
@@ -38,7 +38,7 @@
     costs.m_step = FloatMillis(0.925);
     costs.m_stepPerSequence = FloatMillis(0.00483);
     costs.m_stepPerThousandContext = FloatMillis(0.00254);
-    costs.m_readTokensPerSecond = 256'000;
+    costs.m_prefillTokensPerSecond = 256'000;
     costs.m_perMillionPairs = FloatMillis(0.0917);
     costs.m_usualAnswerTokens = 1'600;
     return costs;
--- a/tests/policy/pool_sim.cpp
+++ b/tests/policy/pool_sim.cpp
@@ -29,7 +29,7 @@
 struct Prompt {
     LoadKey m_key;
     ModelRequest m_request;
-    WaitingTurn m_queueEntry;
+    QueuedRequest m_queueEntry;
     PromptOutcome m_outcome;
     size_t m_partsLeft = 0;
     uint32_t m_eventsLeft = 0;
@@ -170,13 +170,13 @@
     void enqueue(size_t index)
     {
         Prompt &prompt = m_prompts[index];
-        prompt.m_queueEntry =
-            turnOf(m_load.m_dispatchSettings, m_load.m_costs, prompt.m_request, m_pool.size());
+        prompt.m_queueEntry = queuedRequestOf(m_load.m_dispatchSettings, m_load.m_costs,
+                                              prompt.m_request, m_pool.size());
         queueOf(prompt)[prompt.m_key] = prompt.m_queueEntry;
         m_waiting.push_back(index);
     }
 
-    TurnQueue &queueOf(const Prompt &prompt)
+    DispatchQueue &queueOf(const Prompt &prompt)
     {
         return prompt.m_request.strict() ? m_strictQueue : m_longQueue;
     }
@@ -223,7 +223,7 @@
             strictEngines(m_split, m_pool, view->m_uses,
                           strictDemandOf(m_load.m_costs, m_strictQueue, m_ledger, now), now);
         view->m_side = sideLoadOf(m_load.m_costs, m_pool, strictSide, view->m_uses,
-                                  m_ledger.readingLong(), strict);
+                                  m_ledger.activeLongPrefills(), strict);
         view->m_side.m_longestAim = longestAim();
         view->m_sides = splitPool(m_pool, strictSide, strict);
         return *view;
@@ -234,16 +234,16 @@
     {
         const ModelRequest &request = prompt.m_request;
         const PoolView &seen = poolView(request.strict(), now);
-        const bool next = isNext(m_load.m_dispatchSettings, m_load.m_costs, request,
-                                 queueOf(prompt), prompt.m_key, seen.m_side, now);
-        const auto plan = [&](StreamCare disruption) {
-            GangQuestion query = questionOf(m_load.m_costs, request, disruption, now);
-            query.m_rooms.m_draw = [this] { return draw(); };
+        const bool next = mayStartNext(m_load.m_dispatchSettings, m_load.m_costs, request,
+                                       queueOf(prompt), prompt.m_key, seen.m_side, now);
+        const auto plan = [&](DisruptionPolicy disruption) {
+            GangQuery query = gangQueryOf(m_load.m_costs, request, disruption, now);
+            query.m_candidateQuery.m_drawJitter = [this] { return draw(); };
             return planGang(m_load.m_gang, m_load.m_costs, seen.m_sides, seen.m_uses, query);
         };
-        const TurnLook decision =
-            lookForTurn(m_load.m_dispatchSettings, m_load.m_costs, request, prompt.m_queueEntry,
-                        next, prompt.m_outcome.m_obstacle, plan, now);
+        const DispatchDecision decision =
+            decideDispatch(m_load.m_dispatchSettings, m_load.m_costs, request, prompt.m_queueEntry,
+                           next, prompt.m_outcome.m_obstacle, plan, now);
         prompt.m_outcome.m_obstacle = decision.m_obstacle;
         if (!decision.m_plan && !decision.m_tooLate)
             return false;
@@ -263,9 +263,9 @@
             {}, prompt.m_request.m_gapLimitMs, false, now, prompt.m_request.m_deadline
         };
         for (const GangMember &member : plan.m_members) {
-            load.m_parts.push_back({ member.m_endpoint.m_id, member.m_readMs, member.m_tokens });
+            load.m_parts.push_back({ member.m_endpoint.m_id, member.m_prefillMs, member.m_tokens });
             const size_t engine = m_indexes.at(member.m_endpoint.m_id);
-            m_engines[engine].m_waiting.push_back({ index, FloatMillis(member.m_readMs) });
+            m_engines[engine].m_waiting.push_back({ index, FloatMillis(member.m_prefillMs) });
             if (!m_engines[engine].m_passEnd)
                 beginPass(engine, now);
         }
@@ -344,7 +344,7 @@
         prompt.m_callerGone =
             prompt.m_callerGone || silence > request.m_patience || now > request.m_deadline;
         if (first) {
-            m_ledger.startWriting(prompt.m_key);
+            m_ledger.recordFirstEvent(prompt.m_key);
             prompt.m_outcome.m_inTarget = silence <= request.m_latencyTarget;
         } else if (silence > Millis(request.m_gapLimitMs)) {
             prompt.m_outcome.m_inTarget = false;
@@ -369,8 +369,8 @@
     std::vector<size_t> m_waiting;
     uint64_t m_sequence = 0;
     StreamLedger m_ledger;
-    TurnQueue m_strictQueue;
-    TurnQueue m_longQueue;
+    DispatchQueue m_strictQueue;
+    DispatchQueue m_longQueue;
     PoolSplit m_split;
     std::array<std::optional<PoolView>, 2>
         m_poolViews; ///< Indexed by whether the stream is strict.
--- a/tests/policy/pool_sim.h
+++ b/tests/policy/pool_sim.h
@@ -35,7 +35,7 @@
     /// For each phase, a factor on the arrival rate of each kind. The phases repeat.
     std::vector<std::vector<double>> m_phases;
     // Settings of the scheduling code.
-    TurnSettings m_dispatchSettings{};
+    DispatchSettings m_dispatchSettings{};
     GangSettings m_gang{};
 };
 
@@ -48,7 +48,7 @@
     bool m_inTarget = false; ///< And in time, with all gaps within the limit.
     TimePoint m_arrival{};
     Duration m_wait{}; ///< From its arrival to its start or refusal.
-    TurnObstacle m_obstacle = TurnObstacle::None; ///< Reason of a refusal.
+    DispatchObstacle m_obstacle = DispatchObstacle::None; ///< Reason of a refusal.
 };
 
 /// How the engines spent their time, in engine seconds.
--- a/tests/policy/pool_worth_test.cpp
+++ b/tests/policy/pool_worth_test.cpp
@@ -13,7 +13,7 @@
 {
     PoolLoad load;
     load.m_engines = 1;
-    load.m_costs.m_readTokensPerSecond = 1'000;
+    load.m_costs.m_prefillTokensPerSecond = 1'000;
     PromptKind kind;
     kind.m_meanTokens = 1'000;
     kind.m_latencyTarget = Millis(1'000);
--- a/tests/policy/size_fairness_test.cpp
+++ b/tests/policy/size_fairness_test.cpp
@@ -54,7 +54,7 @@
     load.m_costs.m_slots = static_cast<uint32_t>(between(8, 17));
     load.m_costs.m_memoryTokens = static_cast<uint64_t>(between(200'000, 420'000));
     load.m_costs.m_stride = static_cast<uint32_t>(between(34, 70));
-    load.m_costs.m_readTokensPerSecond = between(150'000, 250'000);
+    load.m_costs.m_prefillTokensPerSecond = between(150'000, 250'000);
     load.m_costs.m_perMillionPairs = FloatMillis(between(0.08, 0.16));
     PromptKind &longKind = load.m_kinds[Long];
     longKind.m_meanTokens = between(130'000, 230'000);
