--- a/entry/completion_run.cpp
+++ b/entry/completion_run.cpp
@@ -206,7 +206,7 @@
     AttemptFacts facts;
     facts.m_bytesSent = failure.m_notRun && failure.m_reason.empty() ? 0 : 1;
     facts.m_reply = failure.m_notRun ? EndpointReply::NotRun : EndpointReply::Nothing;
-    facts.m_replyIsOurs = true;
+    facts.m_replyMatchesAttempt = true;
     m_attempts.push_back(facts);
     if (checkShutdown(failure.m_error))
         return handleDeadline();
--- a/entry/placement.cpp
+++ b/entry/placement.cpp
@@ -71,7 +71,7 @@
     Node &node = worker.node();
     node.m_entryMetrics.countFallback();
     const auto views = node.m_endpoints.views(route.m_endpoints);
-    const auto index = chooseBetterOfTwo(views, request.m_excluded, Clock::now(), worker.random());
+    const auto index = choosePowerOfTwo(views, request.m_excluded, Clock::now(), worker.random());
     if (!index || views[*index].m_ownInFlight >= FallbackConcurrency)
         return tl::unexpected(noEndpointRefusal(request));
     const EndpointRoute &endpoint = route.m_endpoints[*index];
--- a/entry/steward_service.cpp
+++ b/entry/steward_service.cpp
@@ -140,7 +140,7 @@
 void StewardService::removeManagedEndpoint(const EndpointId &endpoint)
 {
     m_managedEndpoints.erase(endpoint);
-    deliver(endpointLeft(m_steward, endpoint, Clock::now()).m_decisions);
+    deliver(dropEndpoint(m_steward, endpoint, Clock::now()).m_decisions);
 }
 
 void StewardService::releaseGrantsOfStoppedVms(const std::set<VmId> &serving)
--- a/policy/cells.cpp
+++ b/policy/cells.cpp
@@ -79,7 +79,7 @@
 
 uint32_t cellCount(uint32_t vms)
 {
-    const uint32_t least = (std::max(vms, 1u) + MostVmsTogether - 1) / MostVmsTogether;
+    const uint32_t least = (std::max(vms, 1u) + MaxVmsPerCell - 1) / MaxVmsPerCell;
     return std::bit_ceil(least);
 }
 
@@ -94,7 +94,8 @@
     return { cellOf(vm, cells), cells };
 }
 
-std::vector<EndpointRecord> cellPool(const std::vector<EndpointRecord> &pool, const CellView &view)
+std::vector<EndpointRecord> endpointsOfCell(const std::vector<EndpointRecord> &pool,
+                                            const CellView &view)
 {
     if (view.m_cells <= 1)
         return pool;
--- a/policy/cells.h
+++ b/policy/cells.h
@@ -21,7 +21,7 @@
 
 /// Fleets up to this size form a single cell. For each request, a VM sends about 3 messages to each
 /// other VM of its cell.
-constexpr uint32_t MostVmsTogether = 128;
+constexpr uint32_t MaxVmsPerCell = 128;
 
 /// The cell of one VM, and the number of cells in the fleet.
 struct CellView {
@@ -32,7 +32,7 @@
 };
 
 /// Number of cells for a fleet of @p vms VMs: the smallest power of two for which a cell has at
-/// most MostVmsTogether VMs on average. At least 1.
+/// most MaxVmsPerCell VMs on average. At least 1.
 uint32_t cellCount(uint32_t vms);
 /// The cell of @p vm, from 0 to @p cells - 1. @p cells is a power of two.
 uint32_t cellOf(const VmId &vm, uint32_t cells);
@@ -42,6 +42,7 @@
 /// The engines of @p pool that belong to the cell of @p view. @p pool is sorted by id. Engines are
 /// spread evenly over the cells, in total and in each data centre. Adding or removing an engine
 /// moves few others. Returns all of @p pool if the cell would have no engine.
-std::vector<EndpointRecord> cellPool(const std::vector<EndpointRecord> &pool, const CellView &view);
+std::vector<EndpointRecord> endpointsOfCell(const std::vector<EndpointRecord> &pool,
+                                            const CellView &view);
 
 } // namespace stackquay
--- a/policy/choose_endpoint.cpp
+++ b/policy/choose_endpoint.cpp
@@ -235,9 +235,9 @@
     return best;
 }
 
-std::optional<size_t> chooseBetterOfTwo(std::span<const EndpointView> views,
-                                        std::span<const EndpointId> excluded, TimePoint now,
-                                        RandomEngine &random)
+std::optional<size_t> choosePowerOfTwo(std::span<const EndpointView> views,
+                                       std::span<const EndpointId> excluded, TimePoint now,
+                                       RandomEngine &random)
 {
     const auto usable = usableEndpoints(views, excluded, now);
     if (usable.empty())
--- a/policy/choose_endpoint.h
+++ b/policy/choose_endpoint.h
@@ -93,9 +93,9 @@
 
 /// Power of two choices: the one with less reported load of two random endpoints. Used while the
 /// steward is unreachable.
-std::optional<size_t> chooseBetterOfTwo(std::span<const EndpointView> views,
-                                        std::span<const EndpointId> excluded, TimePoint now,
-                                        RandomEngine &random);
+std::optional<size_t> choosePowerOfTwo(std::span<const EndpointView> views,
+                                       std::span<const EndpointId> excluded, TimePoint now,
+                                       RandomEngine &random);
 
 /// One endpoint as seen by its steward. The pointers are never null.
 struct StewardCandidate {
--- a/policy/crash_suspects.cpp
+++ b/policy/crash_suspects.cpp
@@ -76,26 +76,26 @@
     return static_cast<size_t>(
         std::count_if(table.m_attempts.begin(), table.m_attempts.end(), [&](const auto &entry) {
             const auto &[key, attempt] = entry;
-            return attempt.m_print == fingerprint && attempt.m_until > now && !(key == own);
+            return attempt.m_fingerprint == fingerprint && attempt.m_until > now && !(key == own);
         }));
 }
 
-SuspectVerdict handleQuarantined(const SuspectSettings &settings, const Suspect &suspect,
-                                 bool inFlight, TimePoint now)
+SuspectDecision handleQuarantined(const SuspectSettings &settings, const Suspect &suspect,
+                                  bool inFlight, TimePoint now)
 {
-    if (suspect.m_trials >= settings.m_maxProbes)
-        return { SuspectCare::Condemned, suspect.m_lastAt + settings.m_retention - now };
-    const TimePoint due = suspect.m_lastAt + settings.m_probeDelay * (1 << suspect.m_trials);
+    if (suspect.m_probesMade >= settings.m_maxProbes)
+        return { SuspectHandling::Quarantined, suspect.m_lastAt + settings.m_retention - now };
+    const TimePoint due = suspect.m_lastAt + settings.m_probeDelay * (1 << suspect.m_probesMade);
     if (now < due)
-        return { SuspectCare::Condemned, due - now };
+        return { SuspectHandling::Quarantined, due - now };
     if (inFlight)
-        return { SuspectCare::Busy, BusyRetryDelay };
-    return { SuspectCare::LowLoad };
+        return { SuspectHandling::Busy, BusyRetryDelay };
+    return { SuspectHandling::LowLoad };
 }
 
 } // namespace
 
-uint64_t processName(const EndpointId &endpoint, uint64_t startedMs)
+uint64_t processKey(const EndpointId &endpoint, uint64_t startedMs)
 {
     return stableHash(endpoint.str(), startedMs);
 }
@@ -109,28 +109,30 @@
     suspect.m_lastAt = std::max(suspect.m_lastAt, now);
     if (!addCrash(table, suspect, process))
         return SuspectChange::None;
-    return quarantined(table, suspect) ? SuspectChange::Condemned : SuspectChange::Known;
+    return quarantined(table, suspect) ? SuspectChange::Quarantined : SuspectChange::Known;
 }
 
-SuspectChange joinNews(SuspectTable &table, const SuspectNews &news, TimePoint now)
+SuspectChange mergeSuspectReport(SuspectTable &table, const SuspectReport &news, TimePoint now)
 {
     const Duration age = Millis(std::min<uint64_t>(
         news.m_ageMs, std::chrono::duration_cast<Millis>(table.m_settings.m_retention).count()));
     std::vector<uint64_t> ends = news.m_crashes;
-    std::erase_if(ends, [&](uint64_t process) { return isCleared(table, news.m_print, process); });
+    std::erase_if(ends,
+                  [&](uint64_t process) { return isCleared(table, news.m_fingerprint, process); });
     if (ends.empty() || age >= table.m_settings.m_retention)
         return SuspectChange::None;
-    Suspect &suspect = findOrAddSuspect(table, news.m_print);
+    Suspect &suspect = findOrAddSuspect(table, news.m_fingerprint);
     const bool before = quarantined(table, suspect);
     bool changed = false;
     for (const uint64_t process : ends)
         changed = addCrash(table, suspect, process) || changed;
-    changed = changed || news.m_trials > suspect.m_trials;
-    suspect.m_trials = std::max(suspect.m_trials, news.m_trials);
+    changed = changed || news.m_probesMade > suspect.m_probesMade;
+    suspect.m_probesMade = std::max(suspect.m_probesMade, news.m_probesMade);
     suspect.m_lastAt = std::max(suspect.m_lastAt, now - age);
     if (!changed)
         return SuspectChange::None;
-    return !before && quarantined(table, suspect) ? SuspectChange::Condemned : SuspectChange::Known;
+    return !before && quarantined(table, suspect) ? SuspectChange::Quarantined
+                                                  : SuspectChange::Known;
 }
 
 bool removeSuspect(SuspectTable &table, const Fingerprint &fingerprint)
@@ -145,7 +147,7 @@
     return true;
 }
 
-bool noteCleared(SuspectTable &table, const Fingerprint &fingerprint,
+bool markCleared(SuspectTable &table, const Fingerprint &fingerprint,
                  const std::vector<uint64_t> &ends, TimePoint now)
 {
     std::vector<uint64_t> all = ends;
@@ -166,18 +168,18 @@
     return changed;
 }
 
-SuspectCare placementOf(const SuspectTable &table, const Fingerprint &fingerprint)
+SuspectHandling suspectHandling(const SuspectTable &table, const Fingerprint &fingerprint)
 {
     const auto suspect = table.m_suspects.find(fingerprint);
     if (suspect == table.m_suspects.end())
-        return SuspectCare::None;
+        return SuspectHandling::None;
     const bool lowLoad =
         suspect->second.m_crashes.size() + 1 >= table.m_settings.m_quarantineThreshold;
-    return lowLoad ? SuspectCare::LowLoad : SuspectCare::Apart;
+    return lowLoad ? SuspectHandling::LowLoad : SuspectHandling::Separate;
 }
 
-SuspectVerdict decideAttempt(const SuspectTable &table, const Fingerprint &fingerprint,
-                             const LoadKey &own, TimePoint now)
+SuspectDecision decideAttempt(const SuspectTable &table, const Fingerprint &fingerprint,
+                              const LoadKey &own, TimePoint now)
 {
     const SuspectSettings &settings = table.m_settings;
     const auto known = table.m_suspects.find(fingerprint);
@@ -187,18 +189,18 @@
     const size_t tries = attemptsInFlight(table, fingerprint, own, now);
     if (quarantined(table, suspect)) {
         const auto begun = table.m_attempts.find(own);
-        const bool ownProbe = begun != table.m_attempts.end() && begun->second.m_trial;
-        return ownProbe ? SuspectVerdict{ SuspectCare::LowLoad }
+        const bool ownProbe = begun != table.m_attempts.end() && begun->second.m_isProbe;
+        return ownProbe ? SuspectDecision{ SuspectHandling::LowLoad }
                         : handleQuarantined(settings, suspect, tries > 0, now);
     }
     const size_t remaining = settings.m_quarantineThreshold - suspect.m_crashes.size();
     if (tries >= remaining)
-        return { SuspectCare::Busy, BusyRetryDelay };
-    return { placementOf(table, fingerprint) };
+        return { SuspectHandling::Busy, BusyRetryDelay };
+    return { suspectHandling(table, fingerprint) };
 }
 
-void beginTry(SuspectTable &table, const Fingerprint &fingerprint, const LoadKey &key,
-              TimePoint until, TimePoint now)
+void beginSuspectAttempt(SuspectTable &table, const Fingerprint &fingerprint, const LoadKey &key,
+                         TimePoint until, TimePoint now)
 {
     const auto known = table.m_suspects.find(fingerprint);
     if (known == table.m_suspects.end())
@@ -211,24 +213,24 @@
         table.m_attempts.emplace(key, SuspectAttempt{ fingerprint, until, probe }).second;
     if (!first || !probe)
         return;
-    ++suspect.m_trials;
+    ++suspect.m_probesMade;
     suspect.m_lastAt = std::max(suspect.m_lastAt, now);
 }
 
-void endTry(SuspectTable &table, const LoadKey &key)
+void endSuspectAttempt(SuspectTable &table, const LoadKey &key)
 {
     table.m_attempts.erase(key);
 }
 
-std::vector<SuspectNews> newsOf(const SuspectTable &table, size_t most, TimePoint now)
+std::vector<SuspectReport> suspectReports(const SuspectTable &table, size_t most, TimePoint now)
 {
-    std::vector<SuspectNews> all;
+    std::vector<SuspectReport> all;
     for (const auto &[fingerprint, suspect] : table.m_suspects) {
         const auto age = std::chrono::duration_cast<Millis>(now - suspect.m_lastAt).count();
-        all.push_back({ fingerprint, suspect.m_crashes, suspect.m_trials,
+        all.push_back({ fingerprint, suspect.m_crashes, suspect.m_probesMade,
                         static_cast<uint64_t>(std::max<Millis::rep>(age, 0)) });
     }
-    std::sort(all.begin(), all.end(), [](const SuspectNews &left, const SuspectNews &right) {
+    std::sort(all.begin(), all.end(), [](const SuspectReport &left, const SuspectReport &right) {
         if (left.m_crashes.size() != right.m_crashes.size())
             return left.m_crashes.size() > right.m_crashes.size();
         return left.m_ageMs < right.m_ageMs;
@@ -238,12 +240,12 @@
     return all;
 }
 
-bool isCondemned(const SuspectTable &table, const SuspectNews &news)
+bool isQuarantined(const SuspectTable &table, const SuspectReport &news)
 {
     return news.m_crashes.size() >= table.m_settings.m_quarantineThreshold;
 }
 
-void forgetOldSuspects(SuspectTable &table, TimePoint now)
+void dropExpiredSuspects(SuspectTable &table, TimePoint now)
 {
     std::vector<Fingerprint> old;
     for (const auto &[fingerprint, suspect] : table.m_suspects) {
--- a/policy/crash_suspects.h
+++ b/policy/crash_suspects.h
@@ -46,22 +46,22 @@
 };
 
 struct Suspect {
-    std::vector<uint64_t> m_crashes; ///< Crashed processes, by processName(); up to the threshold.
-    uint32_t m_trials = 0; ///< Probes since it was quarantined.
+    std::vector<uint64_t> m_crashes; ///< Crashed processes, by processKey(); up to the threshold.
+    uint32_t m_probesMade = 0; ///< Probes since it was quarantined.
     TimePoint m_lastAt{}; ///< Last crash or probe.
 };
 
 /// Crashes that a request did not cause, as it completed after them.
 struct ClearedCrashes {
-    std::vector<uint64_t> m_crashes; ///< Crashed processes, by processName().
+    std::vector<uint64_t> m_crashes; ///< Crashed processes, by processKey().
     TimePoint m_at{}; ///< When the latest one was added.
 };
 
 /// An attempt of a suspect that is in flight anywhere in the fleet.
 struct SuspectAttempt {
-    Fingerprint m_print;
+    Fingerprint m_fingerprint;
     TimePoint m_until{}; ///< Treated as ended from this time on.
-    bool m_trial = false; ///< Begun while the suspect was quarantined.
+    bool m_isProbe = false; ///< Begun while the suspect was quarantined.
 };
 
 struct SuspectTable {
@@ -75,35 +75,36 @@
     bool empty() const { return m_suspects.empty(); }
     /// Whether a request with this outline may be a suspect. Only then is the fingerprint of its
     /// body needed.
-    bool mayKnow(uint64_t outline) const { return m_suspectsPerOutline.count(outline) > 0; }
+    bool mayContain(uint64_t outline) const { return m_suspectsPerOutline.count(outline) > 0; }
 };
 
 /// State of a suspect as sent to other VMs, and as stored for a quarantined one.
-struct SuspectNews {
-    Fingerprint m_print;
+struct SuspectReport {
+    Fingerprint m_fingerprint;
     std::vector<uint64_t> m_crashes;
-    uint32_t m_trials = 0;
+    uint32_t m_probesMade = 0;
     uint64_t m_ageMs = 0; ///< Since the last crash or probe.
 
-    MSGPACK_DEFINE(m_print, m_crashes, m_trials, m_ageMs)
+    MSGPACK_DEFINE(m_fingerprint, m_crashes, m_probesMade, m_ageMs)
 };
 
 /// How an attempt of a request may be placed.
-enum class SuspectCare {
+enum class SuspectHandling {
     None, ///< Not a suspect: anywhere.
-    Apart, ///< On an engine without another suspect.
-    LowLoad, ///< As Apart, and on an engine with little load.
+    Separate, ///< On an engine without another suspect.
+    LowLoad, ///< As Separate, and on an engine with little load.
     Busy, ///< Not now: too many attempts of it are in flight.
-    Condemned, ///< Not at all, except for probes.
+    Quarantined, ///< Not at all, except for probes.
 };
 
-struct SuspectVerdict {
-    SuspectCare m_handling = SuspectCare::None;
-    Duration m_comeBack{}; ///< Busy and Condemned only: time until the next attempt is allowed.
+struct SuspectDecision {
+    SuspectHandling m_handling = SuspectHandling::None;
+    Duration
+        m_nextTryAfter{}; ///< Busy and Quarantined only: time until the next attempt is allowed.
 
-    bool mayTry() const
+    bool isAllowed() const
     {
-        return m_handling != SuspectCare::Busy && m_handling != SuspectCare::Condemned;
+        return m_handling != SuspectHandling::Busy && m_handling != SuspectHandling::Quarantined;
     }
 };
 
@@ -111,40 +112,41 @@
 enum class SuspectChange {
     None,
     Known, ///< A new suspect, or a change to a known one.
-    Condemned, ///< The crash limit is reached: the suspect is not sent any more.
+    Quarantined, ///< The crash limit is reached: the suspect is not sent any more.
 };
 
 /// Identifies one process of an endpoint; @p startedMs: its start, Unix time in ms.
-uint64_t processName(const EndpointId &endpoint, uint64_t startedMs);
+uint64_t processKey(const EndpointId &endpoint, uint64_t startedMs);
 
 /// Records that @p process crashed while the request was in progress on it. Reports of the same
 /// crash count once; crashes before the request was cleared do not count.
 SuspectChange recordCrash(SuspectTable &table, const Fingerprint &fingerprint, uint64_t process,
                           TimePoint now);
 /// Merges a peer's report. Reports may arrive in any order and repeatedly.
-SuspectChange joinNews(SuspectTable &table, const SuspectNews &news, TimePoint now);
+SuspectChange mergeSuspectReport(SuspectTable &table, const SuspectReport &news, TimePoint now);
 /// Removes a suspect without remembering its crashes. False if it was not a suspect.
 bool removeSuspect(SuspectTable &table, const Fingerprint &fingerprint);
 /// Clears a request that completed after the crashes @p ends and the ones in the table: it caused
 /// none of them. Returns whether the table changed.
-bool noteCleared(SuspectTable &table, const Fingerprint &fingerprint,
+bool markCleared(SuspectTable &table, const Fingerprint &fingerprint,
                  const std::vector<uint64_t> &ends, TimePoint now);
 /// Decides whether an attempt of the request may be made, and where. Its own attempt @p own, if it
 /// is in flight already, does not count against it.
-SuspectVerdict decideAttempt(const SuspectTable &table, const Fingerprint &fingerprint,
-                             const LoadKey &own, TimePoint now);
-/// Placement of an attempt, regardless of the number in flight: None, Apart or LowLoad.
-SuspectCare placementOf(const SuspectTable &table, const Fingerprint &fingerprint);
-/// Records an attempt of a suspect as in flight until endTry(), or until @p until at the latest. An
-/// attempt of a quarantined one counts as a probe. Ignored if the request is not a suspect.
-void beginTry(SuspectTable &table, const Fingerprint &fingerprint, const LoadKey &key,
-              TimePoint until, TimePoint now);
-void endTry(SuspectTable &table, const LoadKey &key);
+SuspectDecision decideAttempt(const SuspectTable &table, const Fingerprint &fingerprint,
+                              const LoadKey &own, TimePoint now);
+/// Placement of an attempt, regardless of the number in flight: None, Separate or LowLoad.
+SuspectHandling suspectHandling(const SuspectTable &table, const Fingerprint &fingerprint);
+/// Records an attempt of a suspect as in flight until endSuspectAttempt(), or until @p until at the
+/// latest. An attempt of a quarantined one counts as a probe. Ignored if the request is not a
+/// suspect.
+void beginSuspectAttempt(SuspectTable &table, const Fingerprint &fingerprint, const LoadKey &key,
+                         TimePoint until, TimePoint now);
+void endSuspectAttempt(SuspectTable &table, const LoadKey &key);
 /// Reports of at most @p most suspects, ordered by number of crashes (most first), then by age.
-std::vector<SuspectNews> newsOf(const SuspectTable &table, size_t most, TimePoint now);
+std::vector<SuspectReport> suspectReports(const SuspectTable &table, size_t most, TimePoint now);
 /// Whether the suspect of the report is quarantined.
-bool isCondemned(const SuspectTable &table, const SuspectNews &news);
+bool isQuarantined(const SuspectTable &table, const SuspectReport &news);
 /// Drops suspects that are older than SuspectSettings::m_retention.
-void forgetOldSuspects(SuspectTable &table, TimePoint now);
+void dropExpiredSuspects(SuspectTable &table, TimePoint now);
 
 } // namespace stackquay
--- a/policy/ejection.cpp
+++ b/policy/ejection.cpp
@@ -42,8 +42,8 @@
     table.m_peerFailures.erase(endpoint);
 }
 
-bool recordSharedFailure(EjectionTable &table, const EndpointId &endpoint, size_t endpoints,
-                         uint64_t vm, TimePoint now)
+bool recordPeerFailure(EjectionTable &table, const EndpointId &endpoint, size_t endpoints,
+                       uint64_t vm, TimePoint now)
 {
     std::erase_if(table.m_peerFailures, [&](const auto &entry) {
         return entry.second.m_lastAt + table.m_peerSettings.m_window < now;
@@ -66,7 +66,7 @@
     return true;
 }
 
-void recordSharedSuccess(EjectionTable &table, const EndpointId &endpoint)
+void recordPeerSuccess(EjectionTable &table, const EndpointId &endpoint)
 {
     table.m_peerFailures.erase(endpoint);
 }
@@ -77,8 +77,8 @@
     return found != table.m_endpoints.end() && isEjected(found->second, now);
 }
 
-std::vector<EndpointRecord> healthyOf(const EjectionTable &table, std::vector<EndpointRecord> pool,
-                                      TimePoint now)
+std::vector<EndpointRecord> healthyEndpoints(const EjectionTable &table,
+                                             std::vector<EndpointRecord> pool, TimePoint now)
 {
     std::vector<EndpointRecord> healthy;
     for (const EndpointRecord &endpoint : pool) {
--- a/policy/ejection.h
+++ b/policy/ejection.h
@@ -22,8 +22,8 @@
 /// Evidence of a failure against the endpoint: the number of consecutive failures it counts as.
 enum class FailureWeight : uint32_t {
     None = 0, ///< The endpoint refused for lack of capacity: it works.
-    Chance = 1, ///< One answer was lost or corrupted, possibly by chance.
-    Telling = 2, ///< No connection, or another process at the address.
+    Weak = 1, ///< One answer was lost or corrupted, possibly by chance.
+    Strong = 2, ///< No connection, or another process at the address.
 };
 
 /// Failures of all VMs at an endpoint since its last success at any VM, as reported to this VM.
@@ -63,11 +63,11 @@
 void recordSuccess(EjectionTable &table, const EndpointId &endpoint);
 /// Records that the endpoint interrupted an answer to @p vm, this VM or another. @p endpoints:
 /// number of endpoints in total. Returns whether the failure ejects the endpoint.
-bool recordSharedFailure(EjectionTable &table, const EndpointId &endpoint, size_t endpoints,
-                         uint64_t vm, TimePoint now);
+bool recordPeerFailure(EjectionTable &table, const EndpointId &endpoint, size_t endpoints,
+                       uint64_t vm, TimePoint now);
 /// Records a success at another VM. Failures of this VM's own requests stay, as its network path
 /// differs.
-void recordSharedSuccess(EjectionTable &table, const EndpointId &endpoint);
+void recordPeerSuccess(EjectionTable &table, const EndpointId &endpoint);
 bool isEjected(const EjectionTable &table, const EndpointId &endpoint, TimePoint now);
 
 /// Smallest fraction of a pool to use. With three data centres, a data centre that is cut off still
@@ -76,7 +76,7 @@
 
 /// The endpoints of @p pool that are not ejected; all of @p pool if they are fewer than
 /// MinHealthyShare.
-std::vector<EndpointRecord> healthyOf(const EjectionTable &table, std::vector<EndpointRecord> pool,
-                                      TimePoint now);
+std::vector<EndpointRecord> healthyEndpoints(const EjectionTable &table,
+                                             std::vector<EndpointRecord> pool, TimePoint now);
 
 } // namespace stackquay
--- a/policy/endpoint_directory.cpp
+++ b/policy/endpoint_directory.cpp
@@ -9,7 +9,7 @@
 void adoptLater(EndpointDirectory &own, const EndpointDirectory &offered)
 {
     EndpointDirectory joined = offered;
-    joined.m_surePosition = own.m_surePosition;
+    joined.m_confirmedPosition = own.m_confirmedPosition;
     // A delayed write of an earlier process may appear at a later revision.
     for (auto &[id, endpoint] : joined.m_endpoints) {
         if (isEarlierProcess(own, endpoint))
@@ -19,25 +19,25 @@
         for (const auto &[id, endpoint] : own.m_endpoints) {
             if (offered.m_unreadable.count(id) == 0
                 && joined.m_endpoints.emplace(id, endpoint).second)
-                joined.m_doubtful.insert(id);
+                joined.m_unconfirmed.insert(id);
         }
         // The result is complete if the own snapshot was, since missing endpoints were kept.
         joined.m_complete = own.m_complete && own.m_position.known();
     }
     own = std::move(joined);
-    noteSure(own);
+    updateConfirmedPosition(own);
 }
 
 /// Removes unconfirmed endpoints that a complete directory lacks. Returns whether there were any.
 bool dropUnconfirmed(EndpointDirectory &own, const EndpointDirectory &offered)
 {
     // An older snapshot may have been taken before the endpoint was registered.
-    if (!offered.m_complete || offered.m_position < own.m_surePosition)
+    if (!offered.m_complete || offered.m_position < own.m_confirmedPosition)
         return false;
-    const size_t dropped = std::erase_if(own.m_doubtful, [&](const EndpointId &id) {
+    const size_t dropped = std::erase_if(own.m_unconfirmed, [&](const EndpointId &id) {
         return offered.m_endpoints.count(id) == 0 && own.m_endpoints.erase(id) > 0;
     });
-    noteSure(own);
+    updateConfirmedPosition(own);
     return dropped > 0;
 }
 
@@ -60,13 +60,13 @@
     return restarted;
 }
 
-void noteSure(EndpointDirectory &directory)
+void updateConfirmedPosition(EndpointDirectory &directory)
 {
     if (directory.isConfirmed())
-        directory.m_surePosition = directory.m_position;
+        directory.m_confirmedPosition = directory.m_position;
 }
 
-bool joinDirectory(EndpointDirectory &own, const EndpointDirectory &offered)
+bool mergeDirectory(EndpointDirectory &own, const EndpointDirectory &offered)
 {
     if (offered.m_position <= own.m_position)
         return dropUnconfirmed(own, offered);
--- a/policy/endpoint_directory.h
+++ b/policy/endpoint_directory.h
@@ -37,16 +37,16 @@
     EndpointMap m_endpoints;
     /// Subset of m_endpoints that is unconfirmed: missing from a listing after an outage of the
     /// store. They are gone, or will be registered again.
-    std::unordered_set<EndpointId> m_doubtful;
+    std::unordered_set<EndpointId> m_unconfirmed;
     /// Ids in the store whose entries cannot be parsed. Not in m_endpoints.
     std::unordered_set<EndpointId> m_unreadable;
     /// The snapshot is complete: no live endpoint is missing. False for a while after the first
     /// listing, as the store may have lost entries in an earlier outage.
     bool m_complete = true;
-    StorePosition m_surePosition; ///< Last position at which isConfirmed() held.
+    StorePosition m_confirmedPosition; ///< Last position at which isConfirmed() held.
 
     /// Whether the snapshot is complete and has no unconfirmed endpoints.
-    bool isConfirmed() const { return m_complete && m_doubtful.empty(); }
+    bool isConfirmed() const { return m_complete && m_unconfirmed.empty(); }
 };
 
 /// Whether @p directory has a later process under the id of @p record.
@@ -56,16 +56,17 @@
 std::vector<EndpointRecord> restartedSince(const EndpointDirectory &before,
                                            const EndpointDirectory &now);
 
-/// Records the current position as m_surePosition if isConfirmed(). Call after each change of the
-/// position.
-void noteSure(EndpointDirectory &directory);
+/// Records the current position as m_confirmedPosition if isConfirmed(). Call after each change of
+/// the position.
+void updateConfirmedPosition(EndpointDirectory &directory);
 
 /// Merges @p offered, a peer's directory, into @p own. One of a later position replaces @p own,
 /// except for records of earlier processes; if it is incomplete, endpoints that it lacks are kept
 /// as unconfirmed. One of the same or an earlier position only removes unconfirmed endpoints that
-/// it lacks, provided that it is complete and not older than own.m_surePosition. Returns whether
+/// it lacks, provided that it is complete and not older than own.m_confirmedPosition. Returns
+/// whether
 /// @p own changed.
-bool joinDirectory(EndpointDirectory &own, const EndpointDirectory &offered);
+bool mergeDirectory(EndpointDirectory &own, const EndpointDirectory &offered);
 
 using EndpointDirectoryPtr = std::shared_ptr<const EndpointDirectory>;
 
--- a/policy/freshness.cpp
+++ b/policy/freshness.cpp
@@ -4,7 +4,7 @@
 
 namespace stackquay {
 
-FreshnessProof joinProofs(const FreshnessProof &left, const FreshnessProof &right)
+FreshnessProof mergeProofs(const FreshnessProof &left, const FreshnessProof &right)
 {
     const bool leftIsHigher = left.m_version > right.m_version;
     const FreshnessProof &higher = leftIsHigher ? left : right;
@@ -23,7 +23,7 @@
     return { version, proof.m_provedAt, proof.m_era };
 }
 
-Duration delayOf(ArrivalClock &clock, TimePoint sent, TimePoint received)
+Duration excessDelay(DelayEstimator &clock, TimePoint sent, TimePoint received)
 {
     const Duration offset = received - sent;
     clock.m_minOffset = clock.m_started ? std::min(clock.m_minOffset, offset) : offset;
@@ -37,7 +37,7 @@
     return { version, now - age - callTime, era };
 }
 
-bool freshEnough(const FreshnessProof &proof, uint64_t version, Duration bound, TimePoint now)
+bool isFreshEnough(const FreshnessProof &proof, uint64_t version, Duration bound, TimePoint now)
 {
     return proof.known() && proof.m_version == version && now - proof.m_provedAt <= bound;
 }
--- a/policy/freshness.h
+++ b/policy/freshness.h
@@ -24,7 +24,7 @@
 /// of the lower version's proof is part of the higher version too. This does not hold if the lower
 /// version was proved in a later era, since the restored store may have lost the higher version,
 /// which may have revoked keys; the proof of the higher version is then returned alone.
-FreshnessProof joinProofs(const FreshnessProof &left, const FreshnessProof &right);
+FreshnessProof mergeProofs(const FreshnessProof &left, const FreshnessProof &right);
 
 /// A proof for @p version, which was read but not proved itself, from @p proof of the same or a
 /// lower version. Unknown if there is none.
@@ -32,14 +32,14 @@
 
 /// Estimates the delay of messages from one process without synchronized clocks, relative to the
 /// fastest message so far. Detects messages that waited in a buffer while this VM was frozen.
-struct ArrivalClock {
+struct DelayEstimator {
     bool m_started = false; ///< A message has been seen.
     Duration m_minOffset{}; ///< Offset of the clocks plus the travel time of the fastest message.
 };
 
 /// Delay of a message beyond that of the fastest one. @p sent is on the sender's clock, @p received
 /// on the receiver's.
-Duration delayOf(ArrivalClock &clock, TimePoint sent, TimePoint received);
+Duration excessDelay(DelayEstimator &clock, TimePoint sent, TimePoint received);
 
 /// The proof from a peer's answer. @p age: age of the proof when the peer answered; @p callTime:
 /// duration of the call that ended at @p now.
@@ -48,6 +48,6 @@
 
 /// Whether @p version was proved at most @p bound ago, so that requests that need a key may still
 /// be admitted with it.
-bool freshEnough(const FreshnessProof &proof, uint64_t version, Duration bound, TimePoint now);
+bool isFreshEnough(const FreshnessProof &proof, uint64_t version, Duration bound, TimePoint now);
 
 } // namespace stackquay
--- a/policy/outcome.cpp
+++ b/policy/outcome.cpp
@@ -50,7 +50,7 @@
 {
     if (attempt.m_bytesSent == 0)
         return Outcome::RefusedNotRun;
-    if (!attempt.m_replyIsOurs)
+    if (!attempt.m_replyMatchesAttempt)
         return Outcome::FailedMayHaveRun;
     if (attempt.m_reply == EndpointReply::NotRun)
         return Outcome::RefusedNotRun;
--- a/policy/outcome.h
+++ b/policy/outcome.h
@@ -32,7 +32,7 @@
     EndpointReply m_reply = EndpointReply::Nothing;
     /// The reply certainly belongs to this attempt: it echoed the attempt's id, or the connection
     /// carried no earlier attempt. Otherwise the reply is ignored.
-    bool m_replyIsOurs = false;
+    bool m_replyMatchesAttempt = false;
 };
 
 Outcome attemptOutcome(const AttemptFacts &attempt);
--- a/policy/steward.h
+++ b/policy/steward.h
@@ -168,7 +168,7 @@
     std::vector<GrantDecision> m_decisions;
 };
 /// Removes an endpoint. The result is empty if it is unknown.
-EndpointRemoval endpointLeft(Steward &steward, const EndpointId &endpoint, TimePoint now);
+EndpointRemoval dropEndpoint(Steward &steward, const EndpointId &endpoint, TimePoint now);
 
 /// Decides on a request. The first decision is about this request; the others are about waiting
 /// requests that were granted before it or displaced by it. A request that waits already stays
--- a/policy/steward_endpoints.cpp
+++ b/policy/steward_endpoints.cpp
@@ -116,7 +116,7 @@
     return expire(steward, now);
 }
 
-EndpointRemoval endpointLeft(Steward &steward, const EndpointId &endpoint, TimePoint now)
+EndpointRemoval dropEndpoint(Steward &steward, const EndpointId &endpoint, TimePoint now)
 {
     EndpointRemoval removal;
     const auto known = steward.m_endpoints.find(endpoint);
--- a/policy/watch_duty.cpp
+++ b/policy/watch_duty.cpp
@@ -5,7 +5,7 @@
 
 namespace stackquay {
 
-bool hasWatchDuty(const DutyCandidate &self, const std::vector<DutyCandidate> &peers)
+bool isStoreWatcher(const DutyCandidate &self, const std::vector<DutyCandidate> &peers)
 {
     const auto rankOf = [](const DutyCandidate &vm) {
         return std::make_tuple(!vm.m_eligible, !vm.m_isWatcher, vm.m_vm.str());
--- a/policy/watch_duty.h
+++ b/policy/watch_duty.h
@@ -22,6 +22,6 @@
 /// VMs, the present watcher, the first id in alphabetical order. An eligible watcher is never
 /// replaced by a new VM, because each handover lists all objects again. @p peers: the other live
 /// VMs, of all data centres.
-bool hasWatchDuty(const DutyCandidate &self, const std::vector<DutyCandidate> &peers);
+bool isStoreWatcher(const DutyCandidate &self, const std::vector<DutyCandidate> &peers);
 
 } // namespace stackquay
--- a/relay/condemned_record.cpp
+++ b/relay/condemned_record.cpp
@@ -22,33 +22,35 @@
     return std::chrono::duration_cast<Millis>(time.time_since_epoch()).count();
 }
 
-bool covers(const SuspectNews &known, const SuspectNews &report)
+bool covers(const SuspectReport &known, const SuspectReport &report)
 {
-    return known.m_crashes.size() >= report.m_crashes.size() && known.m_trials >= report.m_trials;
+    return known.m_crashes.size() >= report.m_crashes.size()
+           && known.m_probesMade >= report.m_probesMade;
 }
 
 /// Whether @p known contains everything that @p reports contains.
-bool coversAll(const std::vector<SuspectNews> &known, const std::vector<SuspectNews> &reports)
+bool coversAll(const std::vector<SuspectReport> &known, const std::vector<SuspectReport> &reports)
 {
-    return std::all_of(reports.begin(), reports.end(), [&known](const SuspectNews &one) {
-        return std::any_of(known.begin(), known.end(), [&one](const SuspectNews &other) {
-            return other.m_print == one.m_print && covers(other, one);
+    return std::all_of(reports.begin(), reports.end(), [&known](const SuspectReport &one) {
+        return std::any_of(known.begin(), known.end(), [&one](const SuspectReport &other) {
+            return other.m_fingerprint == one.m_fingerprint && covers(other, one);
         });
     });
 }
 
-Result<SuspectNews> readEntry(const Json &entry, WallTime now)
+Result<SuspectReport> readEntry(const Json &entry, WallTime now)
 {
     if (!entry.is_object())
         return makeError(ErrorCode::InvalidArgument, "an entry is no object");
-    SuspectNews report;
-    report.m_print = fingerprintFrom(stringField(entry, "print").value_or(""));
+    SuspectReport report;
+    report.m_fingerprint = fingerprintFrom(stringField(entry, "print").value_or(""));
     const auto ends = entry.find("ends");
     const auto trials = entry.find("trials");
     const auto at = entry.find("at_ms");
-    const bool complete = report.m_print != Fingerprint{} && ends != entry.end() && ends->is_array()
-                          && trials != entry.end() && trials->is_number_unsigned()
-                          && at != entry.end() && at->is_number_integer();
+    const bool complete = report.m_fingerprint != Fingerprint{} && ends != entry.end()
+                          && ends->is_array() && trials != entry.end()
+                          && trials->is_number_unsigned() && at != entry.end()
+                          && at->is_number_integer();
     if (!complete)
         return makeError(ErrorCode::InvalidArgument, "an entry lacks print, ends, trials or at_ms");
     for (const Json &end : *ends) {
@@ -56,7 +58,7 @@
             return makeError(ErrorCode::InvalidArgument, "an end is no name of a process");
         report.m_crashes.push_back(end.get<uint64_t>());
     }
-    report.m_trials = trials->get<uint32_t>();
+    report.m_probesMade = trials->get<uint32_t>();
     report.m_ageMs =
         static_cast<uint64_t>(std::max<int64_t>(millisOf(now) - at->get<int64_t>(), 0));
     return report;
@@ -64,19 +66,19 @@
 
 } // namespace
 
-std::string encodeQuarantined(const std::vector<SuspectNews> &quarantined, WallTime now)
+std::string encodeQuarantined(const std::vector<SuspectReport> &quarantined, WallTime now)
 {
     Json entries = Json::array();
-    for (const SuspectNews &report : quarantined) {
-        entries.push_back({ { "print", toString(report.m_print) },
+    for (const SuspectReport &report : quarantined) {
+        entries.push_back({ { "print", toString(report.m_fingerprint) },
                             { "ends", report.m_crashes },
-                            { "trials", report.m_trials },
+                            { "trials", report.m_probesMade },
                             { "at_ms", millisOf(now) - static_cast<int64_t>(report.m_ageMs) } });
     }
     return Json({ { "condemned", entries } }).dump();
 }
 
-Result<std::vector<SuspectNews>> decodeQuarantined(const std::string &spec, WallTime now)
+Result<std::vector<SuspectReport>> decodeQuarantined(const std::string &spec, WallTime now)
 {
     const auto object = parseJsonObject(spec);
     if (!object)
@@ -84,7 +86,7 @@
     const auto entries = object->find("condemned");
     if (entries == object->end() || !entries->is_array())
         return makeError(ErrorCode::InvalidArgument, "no list of condemned requests");
-    std::vector<SuspectNews> quarantined;
+    std::vector<SuspectReport> quarantined;
     for (const Json &entry : *entries) {
         auto report = readEntry(entry, now);
         if (!report)
@@ -94,22 +96,23 @@
     return quarantined;
 }
 
-std::vector<SuspectNews> mergeQuarantined(std::vector<SuspectNews> one,
-                                          const std::vector<SuspectNews> &other)
+std::vector<SuspectReport> mergeQuarantined(std::vector<SuspectReport> one,
+                                            const std::vector<SuspectReport> &other)
 {
-    for (const SuspectNews &report : other) {
+    for (const SuspectReport &report : other) {
         const auto known =
-            std::find_if(one.begin(), one.end(), [&report](const SuspectNews &entry) {
-                return entry.m_print == report.m_print;
+            std::find_if(one.begin(), one.end(), [&report](const SuspectReport &entry) {
+                return entry.m_fingerprint == report.m_fingerprint;
             });
         if (known == one.end())
             one.push_back(report);
         else if (!covers(*known, report))
             *known = report;
     }
-    std::stable_sort(one.begin(), one.end(), [](const SuspectNews &left, const SuspectNews &right) {
-        return left.m_ageMs < right.m_ageMs;
-    });
+    std::stable_sort(one.begin(), one.end(),
+                     [](const SuspectReport &left, const SuspectReport &right) {
+                         return left.m_ageMs < right.m_ageMs;
+                     });
     if (one.size() > MaxEntries)
         one.resize(MaxEntries);
     return one;
@@ -127,7 +130,7 @@
     KindStore &m_store;
     const RelaySource &m_source;
     Loaded m_loaded;
-    std::vector<SuspectNews> m_unwritten; ///< Entries still to be written.
+    std::vector<SuspectReport> m_unwritten; ///< Entries still to be written.
     bool m_loadStarted = false;
     bool m_writing = false;
 
@@ -172,8 +175,9 @@
         return false;
     const WallTime now = std::chrono::system_clock::now();
     // Content that cannot be decoded is overwritten.
-    const auto known = decodeQuarantined(object->m_spec, now).value_or(std::vector<SuspectNews>{});
-    const std::vector<SuspectNews> unwritten = m_unwritten;
+    const auto known =
+        decodeQuarantined(object->m_spec, now).value_or(std::vector<SuspectReport>{});
+    const std::vector<SuspectReport> unwritten = m_unwritten;
     if (!coversAll(known, unwritten)) {
         const KindObject next{ ObjectName, object->m_position,
                                encodeQuarantined(mergeQuarantined(known, unwritten), now) };
@@ -187,7 +191,7 @@
             .write();
     }
     // More entries may have been added during the write.
-    std::erase_if(m_unwritten, [&unwritten](const SuspectNews &report) {
+    std::erase_if(m_unwritten, [&unwritten](const SuspectReport &report) {
         return coversAll(unwritten, { report });
     });
     return m_unwritten.empty();
@@ -209,7 +213,7 @@
     });
 }
 
-void QuarantineRecord::save(const std::vector<SuspectNews> &quarantined)
+void QuarantineRecord::save(const std::vector<SuspectReport> &quarantined)
 {
     m_state->m_unwritten = mergeQuarantined(m_state->m_unwritten, quarantined);
     if (m_state->m_unwritten.empty() || std::exchange(m_state->m_writing, true))
--- a/relay/condemned_record.h
+++ b/relay/condemned_record.h
@@ -18,7 +18,7 @@
 class QuarantineRecord
 {
 public:
-    using Loaded = std::function<void(const std::vector<SuspectNews> &quarantined)>;
+    using Loaded = std::function<void(const std::vector<SuspectReport> &quarantined)>;
 
     /// @p thread must be stopped before this object is destroyed. @p loaded is called with the
     /// decoded content.
@@ -33,7 +33,7 @@
     void load();
     /// Merges @p quarantined into the stored object, with retries until that succeeds. On the
     /// thread.
-    void save(const std::vector<SuspectNews> &quarantined);
+    void save(const std::vector<SuspectReport> &quarantined);
 
 private:
     struct State;
@@ -42,11 +42,11 @@
 
 /// Encodes the object's content. Times are stored as wall clock time, because the steady clocks of
 /// VMs have no common origin; @p now is the current one.
-std::string encodeQuarantined(const std::vector<SuspectNews> &quarantined, WallTime now);
-Result<std::vector<SuspectNews>> decodeQuarantined(const std::string &spec, WallTime now);
+std::string encodeQuarantined(const std::vector<SuspectReport> &quarantined, WallTime now);
+Result<std::vector<SuspectReport>> decodeQuarantined(const std::string &spec, WallTime now);
 /// The union of both lists; of two entries for a request, the one with more exits and probes. Keeps
 /// the MaxEntries newest ones.
-std::vector<SuspectNews> mergeQuarantined(std::vector<SuspectNews> one,
-                                          const std::vector<SuspectNews> &other);
+std::vector<SuspectReport> mergeQuarantined(std::vector<SuspectReport> one,
+                                            const std::vector<SuspectReport> &other);
 
 } // namespace stackquay
--- a/relay/end_check.cpp
+++ b/relay/end_check.cpp
@@ -21,7 +21,7 @@
     if (!address)
         return false;
     dropExpired(Clock::now());
-    std::shared_ptr<Probe> &known = m_probes[processName(endpoint.m_id, endpoint.m_startedMs)];
+    std::shared_ptr<Probe> &known = m_probes[processKey(endpoint.m_id, endpoint.m_startedMs)];
     if (known) {
         const std::shared_ptr<Probe> probe = known;
         while (!probe->m_done && sleepFor(m_thread.context(), ProbePoll)) { }
--- a/relay/fleet_link.cpp
+++ b/relay/fleet_link.cpp
@@ -60,7 +60,7 @@
 
 struct Peer {
     Beat m_lastHeartbeat; ///< The last one received.
-    ArrivalClock m_clock;
+    DelayEstimator m_clock;
     TimePoint m_lastHeardAt{};
     bool m_alive = false; ///< No sign that its process has exited.
     bool m_requestLoads = false; ///< The next heartbeat to it requests its requests in flight.
@@ -291,7 +291,7 @@
 void FleetLink::State::applyProof(Peer &peer)
 {
     const TimePoint sent = TimePoint{} + std::chrono::microseconds(peer.m_lastHeartbeat.m_sentUs);
-    const Duration delay = delayOf(peer.m_clock, sent, peer.m_lastHeardAt);
+    const Duration delay = excessDelay(peer.m_clock, sent, peer.m_lastHeardAt);
     const StateSummary &summary = peer.m_lastHeartbeat.m_stateSummary;
     if (summary.m_proved) {
         m_hooks.m_onProof(proofFromAge(summary.m_routesVersion, summary.m_proofEra,
@@ -443,7 +443,7 @@
     }
     const DutyCandidate self{ m_settings.m_vm, m_settings.m_dataCentre,
                               m_hooks.m_ownSummary().m_reachesStore, m_watchesStore };
-    if (!m_draining && now >= m_electableFrom && hasWatchDuty(self, candidates))
+    if (!m_draining && now >= m_electableFrom && isStoreWatcher(self, candidates))
         m_lastElected = now;
     const bool before = m_watchesStore;
     m_watchesStore = m_lastElected != TimePoint{} && now - m_lastElected < WatcherHandover;
--- a/relay/fleet_messages.h
+++ b/relay/fleet_messages.h
@@ -52,14 +52,14 @@
     /// False: the endpoints are omitted, because the caller's directory is not older.
     bool m_hasEndpoints = false;
     std::vector<EndpointRecord> m_endpoints;
-    std::vector<EndpointId> m_doubtful; ///< Those of m_endpoints that are unconfirmed.
+    std::vector<EndpointId> m_unconfirmed; ///< Those of m_endpoints that are unconfirmed.
     /// Endpoints whose entries cannot be decoded; not in m_endpoints.
     std::vector<EndpointId> m_unreadable;
     bool m_complete = false; ///< The list is complete.
-    std::vector<SuspectNews> m_quarantined; ///< A new VM needs these before it becomes ready.
+    std::vector<SuspectReport> m_quarantined; ///< A new VM needs these before it becomes ready.
 
-    MSGPACK_DEFINE(m_summary, m_routesSpec, m_hasEndpoints, m_endpoints, m_doubtful, m_unreadable,
-                   m_complete, m_quarantined)
+    MSGPACK_DEFINE(m_summary, m_routesSpec, m_hasEndpoints, m_endpoints, m_unconfirmed,
+                   m_unreadable, m_complete, m_quarantined)
 };
 
 struct StateRequest {
--- a/relay/load_exchange.h
+++ b/relay/load_exchange.h
@@ -39,7 +39,7 @@
     /// Placed, if the request is a suspect, and Cleared: fingerprint of the request.
     std::vector<Fingerprint> m_fingerprints{};
     /// Suspected: the reports. Cleared: the process exits that are cleared.
-    std::vector<SuspectNews> m_suspects{};
+    std::vector<SuspectReport> m_suspects{};
     uint32_t m_cell = 0; ///< Suspected and Cleared: cell of the sender.
     uint32_t m_leadMs = 0; ///< Waiting: see QueuedRequest.
 
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -50,7 +50,7 @@
         m_node.end(m_loadKey);
         m_failureReason = "memory not reserved: " + reserved.error().m_message;
         if (reserved.error().m_code == ErrorCode::OutcomeUnknown)
-            m_node.noteFailure(reservations.refusingEndpoint(), FailureWeight::Chance,
+            m_node.noteFailure(reservations.refusingEndpoint(), FailureWeight::Weak,
                                "reservation not answered");
         if (!sleepFor(m_node.m_thread.context(), PlacementRetryDelay))
             return AttemptResult::Failed;
@@ -60,7 +60,7 @@
     for (const GangMember &member : plan.m_members)
         parts.push_back({ member.m_endpoint.m_id, member.m_prefillMs, member.m_tokens });
     m_node.place(m_loadKey, std::move(parts), gapLimitMs(), remainingTime() + LedgerSlack,
-                 m_suspectHandling == SuspectCare::None ? std::nullopt : m_print);
+                 m_suspectHandling == SuspectHandling::None ? std::nullopt : m_fingerprint);
     logPlacement(plan);
     const AttemptResult end = attemptPlaced(plan, reservations);
     m_node.end(m_loadKey);
@@ -114,7 +114,7 @@
     const EndpointRecord &endpoint = plan.m_members.front().m_endpoint;
     const auto address = parseAddress(endpoint.m_address);
     if (!address)
-        return failAttempt(endpoint, FailureWeight::Telling, "no address");
+        return failAttempt(endpoint, FailureWeight::Strong, "no address");
     // A dead connection is also costly if memory is reserved on other endpoints meanwhile.
     const bool holdsMemory = std::any_of(plan.m_members.begin(), plan.m_members.end(),
                                          [](const GangMember &member) { return member.m_reserve; });
@@ -124,7 +124,7 @@
         m_node.m_pool.acquire(*address, std::min<Duration>(remainingTime(), ConnectTimeout), false,
                               proved ? justUsed : Duration::max());
     if (!connection) {
-        failAttempt(endpoint, FailureWeight::Telling, connection.error().m_message);
+        failAttempt(endpoint, FailureWeight::Strong, connection.error().m_message);
         return AttemptResult::NotSent;
     }
     // The client may have disconnected before its request was read, or while this fiber was
@@ -202,7 +202,7 @@
         return AttemptResult::Failed;
     if (!silent)
         noteBrokenResponse(connection, endpoint);
-    return failAttempt(endpoint, FailureWeight::Chance, silent ? "silent" : error.m_message);
+    return failAttempt(endpoint, FailureWeight::Weak, silent ? "silent" : error.m_message);
 }
 
 void RelayRun::noteBrokenResponse(const HttpConnection &connection, const EndpointRecord &endpoint)
@@ -238,8 +238,7 @@
     const AnswerHead head = m_node.m_dialect.m_readAnswer(*response);
     const bool ours = head.m_id == m_head.m_id || (head.m_id.empty() && !reused);
     if (!ours)
-        return failAttempt(endpoint, FailureWeight::Chance,
-                           "the answer belongs to another request");
+        return failAttempt(endpoint, FailureWeight::Weak, "the answer belongs to another request");
     if (head.m_notRun)
         return handleRefusal(connection, endpoint, head, *response, reused);
     if (m_route->m_kind == RouteKind::Stream && isSuccess(response->m_status))
@@ -264,7 +263,7 @@
         m_triedEndpoints.insert(faulty);
     }
     const bool telling = head.m_misdirected || faulty != endpoint.m_id;
-    m_node.noteFailure(faulty, telling ? FailureWeight::Telling : FailureWeight::None,
+    m_node.noteFailure(faulty, telling ? FailureWeight::Strong : FailureWeight::None,
                        m_failureReason);
     DecisionLine("relay", "attempt refused")
         .text("request", m_head.m_id.str())
@@ -290,7 +289,7 @@
     if (!body)
         return failRead(connection, endpoint, body.error());
     if (!head.m_signed || head.m_encoded)
-        return failAttempt(endpoint, FailureWeight::Chance, "the answer is not the endpoint's own");
+        return failAttempt(endpoint, FailureWeight::Weak, "the answer is not the endpoint's own");
     response.m_body = std::move(*body);
     response.m_headers = head.m_endToEnd;
     if (response.m_status < StatusServerError) {
@@ -323,7 +322,7 @@
                                               TimePoint firstEventBy)
 {
     if (!head.m_signed || head.m_encoded)
-        return failAttempt(endpoint, FailureWeight::Chance, "the answer is not the endpoint's own");
+        return failAttempt(endpoint, FailureWeight::Weak, "the answer is not the endpoint's own");
     EventSplitter events;
     std::string piece;
     bool first = true;
@@ -337,7 +336,7 @@
             return failRead(connection, endpoint, read.error());
         if (piece.empty()) {
             if (!events.empty())
-                return failAttempt(endpoint, FailureWeight::Chance,
+                return failAttempt(endpoint, FailureWeight::Weak,
                                    "the stream ended inside an event");
             break;
         }
@@ -355,7 +354,7 @@
         if (m_clientDisconnected)
             return AttemptResult::Failed;
         if (!ordered)
-            return failAttempt(endpoint, FailureWeight::Telling, "events out of order");
+            return failAttempt(endpoint, FailureWeight::Strong, "events out of order");
     }
     if (!m_streaming) {
         m_streaming = true;
--- a/relay/relay_daemon.cpp
+++ b/relay/relay_daemon.cpp
@@ -92,9 +92,9 @@
                                           adapter.m_source, fleetHooks());
     m_quarantineRecord = std::make_unique<QuarantineRecord>(
         m_control, *m_store, adapter.m_source,
-        [this](const std::vector<SuspectNews> &quarantined) { addQuarantined(quarantined); });
+        [this](const std::vector<SuspectReport> &quarantined) { addQuarantined(quarantined); });
     m_store->onRise([this] { noteEra(m_store->era()); });
-    m_node->m_quarantined = [this](const std::vector<SuspectNews> &quarantined, bool observed) {
+    m_node->m_quarantined = [this](const std::vector<SuspectReport> &quarantined, bool observed) {
         m_control.post([this, quarantined, observed] {
             m_quarantined = quarantined;
             if (observed)
@@ -232,7 +232,7 @@
 
 void RelayDaemon::applyProof(const FreshnessProof &proof)
 {
-    const FreshnessProof joined = joinProofs(m_proof, proof);
+    const FreshnessProof joined = mergeProofs(m_proof, proof);
     if (joined.m_version == m_proof.m_version && joined.m_provedAt == m_proof.m_provedAt)
         return;
     if (m_proof.known())
@@ -259,7 +259,7 @@
     if (view->m_directory) {
         own.m_directory = view->m_directory->m_position;
         own.m_directoryConfirmed = view->m_directory->isConfirmed();
-        own.m_lastConfirmed = view->m_directory->m_surePosition;
+        own.m_lastConfirmed = view->m_directory->m_confirmedPosition;
     }
     own.m_reachesStore = m_follower->reachesStore();
     return own;
@@ -279,7 +279,7 @@
         m_quarantineRecord->save(m_quarantined);
 }
 
-void RelayDaemon::addQuarantined(const std::vector<SuspectNews> &quarantined)
+void RelayDaemon::addQuarantined(const std::vector<SuspectReport> &quarantined)
 {
     if (!quarantined.empty())
         m_traffic.post([this, quarantined] { m_node->m_suspects.merge(quarantined); });
@@ -299,8 +299,8 @@
     state.m_hasEndpoints = true;
     for (const auto &[id, endpoint] : view->m_directory->m_endpoints)
         state.m_endpoints.push_back(endpoint);
-    const auto &doubtful = view->m_directory->m_doubtful;
-    state.m_doubtful.assign(doubtful.begin(), doubtful.end());
+    const auto &doubtful = view->m_directory->m_unconfirmed;
+    state.m_unconfirmed.assign(doubtful.begin(), doubtful.end());
     const auto &unreadable = view->m_directory->m_unreadable;
     state.m_unreadable.assign(unreadable.begin(), unreadable.end());
     state.m_complete = view->m_directory->m_complete;
@@ -367,7 +367,7 @@
     EndpointDirectory directory;
     directory.m_position = summary.m_directory;
     directory.m_complete = state.m_complete;
-    directory.m_doubtful.insert(state.m_doubtful.begin(), state.m_doubtful.end());
+    directory.m_unconfirmed.insert(state.m_unconfirmed.begin(), state.m_unconfirmed.end());
     directory.m_unreadable.insert(state.m_unreadable.begin(), state.m_unreadable.end());
     for (const EndpointRecord &endpoint : state.m_endpoints)
         directory.m_endpoints[endpoint.m_id] = endpoint;
--- a/relay/relay_daemon.h
+++ b/relay/relay_daemon.h
@@ -52,7 +52,7 @@
     void applyPeerState(const StateSnapshot &state, Duration callTime);
     void applyProof(const FreshnessProof &proof);
     void noteEra(uint64_t era);
-    void addQuarantined(const std::vector<SuspectNews> &quarantined);
+    void addQuarantined(const std::vector<SuspectReport> &quarantined);
     void updateView(const std::function<void(RelayView &)> &change);
     void handleReadyRequest(HttpExchange &exchange);
     /// @p begun is the time of the stop signal, from which the grace period counts.
@@ -72,7 +72,8 @@
     std::unique_ptr<QuarantineRecord> m_quarantineRecord;
     Address m_clientsAddress;
     Address m_readyAddress;
-    std::vector<SuspectNews> m_quarantined; ///< Last report of the traffic thread. Control thread.
+    std::vector<SuspectReport>
+        m_quarantined; ///< Last report of the traffic thread. Control thread.
     uint64_t m_era = 0; ///< The highest known store era. Control thread.
     std::string m_packedRoutes; ///< The routes as stored, compressed for peers. Control thread.
     /// The latest known proof, possibly for a routes version that this VM does not have yet.
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -67,7 +67,7 @@
     hooks.m_sendToOtherCells = [this](const LoadMessage &message) {
         m_loads.sendToContacts(message);
     };
-    hooks.m_quarantined = [this](const std::vector<SuspectNews> &quarantined, bool observed) {
+    hooks.m_quarantined = [this](const std::vector<SuspectReport> &quarantined, bool observed) {
         m_metrics.m_quarantined.add();
         if (m_quarantined)
             m_quarantined(quarantined, observed);
@@ -111,7 +111,7 @@
     const TimePoint now = Clock::now();
     AttemptLoad load{ std::move(parts), gapLimitMs, false, now, now + lifetime };
     if (suspect)
-        m_suspects.beginTry(*suspect, key, lifetime, true);
+        m_suspects.beginSuspectAttempt(*suspect, key, lifetime, true);
     m_loads.send(placedMessage(key, load, now));
     removeFromQueues(key);
     m_ledger.place(key, std::move(load));
@@ -125,7 +125,7 @@
 
 void RelayNode::end(const LoadKey &key)
 {
-    m_suspects.endTry(key);
+    m_suspects.endSuspectAttempt(key);
     const bool placed = m_ledger.end(key);
     const bool waited = removeFromQueues(key);
     if (placed || waited)
@@ -224,7 +224,7 @@
     // Interrupted waits during the shutdown of this process are no failures of endpoints.
     if (m_stopping || !recordFailure(m_ejections, endpoint, weight, Clock::now()))
         return;
-    if (weight == FailureWeight::Telling) {
+    if (weight == FailureWeight::Strong) {
         LoadMessage message{ LoadChange::Ejected, nextKey() };
         message.m_parts = { { endpoint, 0, 0 } };
         message.m_dataCentre = m_settings.m_dataCentre;
@@ -246,7 +246,7 @@
     size_t endpoints = 0;
     for (const auto &[service, pool] : m_view.load()->m_pools)
         endpoints += pool.size();
-    if (m_stopping || !recordSharedFailure(m_ejections, endpoint, endpoints, vm, Clock::now()))
+    if (m_stopping || !recordPeerFailure(m_ejections, endpoint, endpoints, vm, Clock::now()))
         return;
     noteEjection(m_metrics, endpoint, "it broke off answers to several VMs");
 }
@@ -255,7 +255,7 @@
 {
     const auto load = m_ledger.loads().find(key);
     if (load != m_ledger.loads().end() && !load->second.m_parts.empty())
-        recordSharedSuccess(m_ejections, load->second.m_parts.front().m_endpoint);
+        recordPeerSuccess(m_ejections, load->second.m_parts.front().m_endpoint);
 }
 
 void RelayNode::setRetryBounds(const RelayView &view)
@@ -294,7 +294,7 @@
         // Only a failure seen from the same data centre shows that this VM cannot reach the
         // endpoint either.
         if (message.m_dataCentre == m_settings.m_dataCentre && !message.m_parts.empty())
-            recordFailure(m_ejections, message.m_parts.front().m_endpoint, FailureWeight::Telling,
+            recordFailure(m_ejections, message.m_parts.front().m_endpoint, FailureWeight::Strong,
                           now);
         return;
     case LoadChange::Placed:
@@ -303,7 +303,8 @@
                        { message.m_parts, message.m_gapLimitMs, message.m_writing,
                          now - Millis(message.m_ageMs), now + Millis(message.m_expiresMs) });
         for (const Fingerprint &suspect : message.m_fingerprints)
-            m_suspects.beginTry(suspect, message.m_key, Millis(message.m_expiresMs), false);
+            m_suspects.beginSuspectAttempt(suspect, message.m_key, Millis(message.m_expiresMs),
+                                           false);
         return;
     case LoadChange::BrokenOff:
         if (!message.m_parts.empty())
@@ -316,7 +317,7 @@
     case LoadChange::Ended:
         removeFromQueues(message.m_key);
         m_ledger.end(message.m_key);
-        m_suspects.endTry(message.m_key);
+        m_suspects.endSuspectAttempt(message.m_key);
         return;
     case LoadChange::Suspected:
     case LoadChange::Cleared:
--- a/relay/relay_node.h
+++ b/relay/relay_node.h
@@ -47,7 +47,7 @@
     /// Watches the store for other VMs, and forwards updates to other cells.
     bool m_watchesStore = false;
     /// See SuspectHooks. Set before the thread starts.
-    std::function<void(const std::vector<SuspectNews> &, bool observed)> m_quarantined;
+    std::function<void(const std::vector<SuspectReport> &, bool observed)> m_quarantined;
     std::unordered_set<RelayRun *> m_runs; ///< Requests in progress.
 
     /// A unique key for the next attempt.
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -29,7 +29,7 @@
         if (m_triedEndpoints.count(endpoint.m_id) == 0)
             untried.push_back(endpoint);
     }
-    return healthyOf(m_node.m_ejections, std::move(untried), Clock::now());
+    return healthyEndpoints(m_node.m_ejections, std::move(untried), Clock::now());
 }
 
 RelayRun::PoolState RelayRun::poolState() const
@@ -50,7 +50,7 @@
         m_node.m_suspects.eligibleEndpoints(m_suspectHandling, pool, m_node.m_ledger);
     auto plan = planWithin(places, care, seen);
     // Prefers an endpoint with other suspects to none: most suspects are harmless.
-    if (!plan && m_suspectHandling == SuspectCare::Apart && places.size() < pool.size())
+    if (!plan && m_suspectHandling == SuspectHandling::Separate && places.size() < pool.size())
         plan = planWithin(pool, care, seen);
     return plan;
 }
@@ -228,7 +228,7 @@
         .number("wait_ms", std::chrono::duration_cast<Millis>(Clock::now() - m_arrival).count())
         .number("in_flight", static_cast<int64_t>(m_node.m_ledger.size()))
         .number("tried", static_cast<int64_t>(m_triedEndpoints.size()))
-        .flag("suspect", m_suspectHandling != SuspectCare::None)
+        .flag("suspect", m_suspectHandling != SuspectHandling::None)
         .write();
 }
 
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -81,7 +81,7 @@
         return false;
     }
     const RouteTable &routes = *m_view->m_routes;
-    const bool fresh = freshEnough(m_view->m_proof, routes.m_version, DenialFreshness, m_arrival);
+    const bool fresh = isFreshEnough(m_view->m_proof, routes.m_version, DenialFreshness, m_arrival);
     m_route = findRoute(routes, hostOf(m_exchange.request()), m_exchange.request().path());
     if (!m_route) {
         if (fresh)
@@ -122,15 +122,15 @@
 bool RelayRun::maySend()
 {
     if (!maybeSuspect()) {
-        m_suspectHandling = SuspectCare::None;
+        m_suspectHandling = SuspectHandling::None;
         return true;
     }
-    const SuspectVerdict verdict = m_node.m_suspects.decideAttempt(fingerprint(), m_loadKey);
+    const SuspectDecision verdict = m_node.m_suspects.decideAttempt(fingerprint(), m_loadKey);
     m_suspectHandling = verdict.m_handling;
-    if (verdict.mayTry())
+    if (verdict.isAllowed())
         return true;
-    m_quarantineRetryAfter = std::chrono::duration_cast<Millis>(verdict.m_comeBack);
-    m_failureReason = verdict.m_handling == SuspectCare::Condemned
+    m_quarantineRetryAfter = std::chrono::duration_cast<Millis>(verdict.m_nextTryAfter);
+    m_failureReason = verdict.m_handling == SuspectHandling::Quarantined
                           ? "the processes of endpoints ended under it"
                           : "endpoints ended under it, and it is being tried elsewhere";
     m_node.m_metrics.m_blocked.add();
@@ -146,7 +146,8 @@
         return true;
     const RelayBounds &bounds = m_view->m_bounds;
     const Duration bound = bounds.m_revocationTime - FreshnessMargin;
-    if (bounds.m_strictKeys && !freshEnough(m_view->m_proof, routes.m_version, bound, m_arrival)) {
+    if (bounds.m_strictKeys
+        && !isFreshEnough(m_view->m_proof, routes.m_version, bound, m_arrival)) {
         refuse(StatusUnavailable, "keys cannot be checked: the configuration may be old",
                RetryAfterStart);
         return false;
@@ -168,10 +169,10 @@
 const Fingerprint &RelayRun::fingerprint()
 {
     const HttpRequest &request = m_exchange.request();
-    if (!m_print)
-        m_print =
+    if (!m_fingerprint)
+        m_fingerprint =
             fingerprintOf({ request.m_method, request.m_target, m_customer.str() }, request.m_body);
-    return *m_print;
+    return *m_fingerprint;
 }
 
 bool RelayRun::maybeSuspect() const
@@ -179,7 +180,7 @@
     if (m_node.m_suspects.empty())
         return false;
     const HttpRequest &request = m_exchange.request();
-    return m_node.m_suspects.mayKnow(
+    return m_node.m_suspects.mayContain(
         outlineOf({ request.m_method, request.m_target, m_customer.str() }, request.m_body.size()));
 }
 
--- a/relay/relay_run.h
+++ b/relay/relay_run.h
@@ -151,7 +151,7 @@
     const DeclaredService *m_service = nullptr;
     ServiceId m_serviceId;
     CustomerId m_customer;
-    std::optional<Fingerprint> m_print; ///< Set when it is first needed.
+    std::optional<Fingerprint> m_fingerprint; ///< Set when it is first needed.
     uint32_t m_urgency = 0;
     TimePoint m_deadline{};
     std::unordered_set<EndpointId> m_triedEndpoints; ///< Endpoints that are not tried again.
@@ -166,7 +166,7 @@
     std::optional<HttpResponse> m_endpointFailure;
     std::string m_failureReason; ///< Reason of the last failed attempt.
     /// Restrictions on the placement of a suspect, as last decided.
-    SuspectCare m_suspectHandling = SuspectCare::None;
+    SuspectHandling m_suspectHandling = SuspectHandling::None;
     /// Set once the request is not sent any more: when the client may retry.
     std::optional<Millis> m_quarantineRetryAfter;
     TimePoint m_lastForwardedAt{}; ///< When events were last sent to the client.
--- a/relay/relay_view.cpp
+++ b/relay/relay_view.cpp
@@ -37,7 +37,7 @@
         std::sort(pool.begin(), pool.end(),
                   [](const auto &left, const auto &right) { return left.m_id < right.m_id; });
         if (isModelService(view, service))
-            pool = cellPool(pool, view.m_cell);
+            pool = endpointsOfCell(pool, view.m_cell);
     }
 }
 
--- a/relay/store_follower.cpp
+++ b/relay/store_follower.cpp
@@ -69,7 +69,7 @@
         .number("era", static_cast<int64_t>(now.m_position.m_era))
         .number("revision", static_cast<int64_t>(now.m_position.m_revision))
         .number("endpoints", static_cast<int64_t>(now.m_endpoints.size()))
-        .number("doubtful", static_cast<int64_t>(now.m_doubtful.size()))
+        .number("doubtful", static_cast<int64_t>(now.m_unconfirmed.size()))
         .text("gone", gone)
         .text("changed", changed)
         .write();
@@ -396,7 +396,7 @@
     m_directory.m_unreadable.erase(endpoint->m_id);
     if (isFromEarlierProcess(*endpoint))
         return;
-    m_directory.m_doubtful.erase(endpoint->m_id);
+    m_directory.m_unconfirmed.erase(endpoint->m_id);
     EndpointRecord &known = m_directory.m_endpoints[endpoint->m_id];
     if (known == *endpoint)
         return;
@@ -416,7 +416,7 @@
 {
     const EndpointId id(object.m_name);
     m_directory.m_endpoints.erase(id);
-    m_directory.m_doubtful.erase(id);
+    m_directory.m_unconfirmed.erase(id);
     if (!m_directory.m_unreadable.insert(id).second)
         return;
     DecisionLine("store", "endpoint not understood")
@@ -498,12 +498,12 @@
     if (m_directory.m_endpoints.count(endpoint) == 0)
         return;
     if (inRecoveryGrace(Clock::now())) {
-        if (m_directory.m_doubtful.insert(endpoint).second)
+        if (m_directory.m_unconfirmed.insert(endpoint).second)
             DecisionLine("store", "endpoint in doubt").text("endpoint", endpoint.str()).write();
         return;
     }
     m_directory.m_endpoints.erase(endpoint);
-    m_directory.m_doubtful.erase(endpoint);
+    m_directory.m_unconfirmed.erase(endpoint);
     m_departed[endpoint] = Clock::now();
     DecisionLine("store", "endpoint gone").text("endpoint", endpoint.str()).write();
 }
@@ -515,9 +515,9 @@
     const TimePoint due =
         inRecoveryGrace(now) ? m_recoveredAt + RecoveryGrace : now + RecoveryGrace;
     std::erase_if(m_pendingRemovals, [this](const auto &entry) {
-        return m_directory.m_doubtful.count(entry.first) == 0;
+        return m_directory.m_unconfirmed.count(entry.first) == 0;
     });
-    for (const EndpointId &endpoint : m_directory.m_doubtful)
+    for (const EndpointId &endpoint : m_directory.m_unconfirmed)
         m_pendingRemovals.emplace(endpoint, due);
 }
 
@@ -529,7 +529,7 @@
         if (due > now)
             continue;
         changed = true;
-        m_directory.m_doubtful.erase(endpoint);
+        m_directory.m_unconfirmed.erase(endpoint);
         m_directory.m_endpoints.erase(endpoint);
         m_departed[endpoint] = now;
         DecisionLine("store", "endpoint gone")
@@ -550,7 +550,7 @@
 void StoreFollower::State::publishDirectory(const StorePosition &position)
 {
     m_directory.m_position = std::max(m_directory.m_position, position);
-    noteSure(m_directory);
+    updateConfirmedPosition(m_directory);
     scheduleRemovals();
     m_hooks.m_onDirectory(std::make_shared<const EndpointDirectory>(m_directory));
 }
@@ -619,7 +619,7 @@
 void StoreFollower::mergePeerDirectory(const EndpointDirectory &directory)
 {
     const EndpointMap before = m_state->m_directory.m_endpoints;
-    if (!joinDirectory(m_state->m_directory, directory))
+    if (!mergeDirectory(m_state->m_directory, directory))
         return;
     logMerge(before, m_state->m_directory);
     m_state->noteDepartures(before);
--- a/relay/suspect_watch.cpp
+++ b/relay/suspect_watch.cpp
@@ -68,7 +68,7 @@
     void forward(const LoadMessage &message);
     void logChange(const Fingerprint &fingerprint, SuspectChange change);
     void reportQuarantined(bool observed);
-    bool merge(const std::vector<SuspectNews> &reports);
+    bool merge(const std::vector<SuspectReport> &reports);
 };
 
 void SuspectTracker::State::logChange(const Fingerprint &fingerprint, SuspectChange change)
@@ -77,19 +77,19 @@
     if (suspect == m_table.m_suspects.end())
         return;
     DecisionLine("relay",
-                 change == SuspectChange::Condemned ? "request condemned" : "request suspected")
+                 change == SuspectChange::Quarantined ? "request condemned" : "request suspected")
         .text("print", toString(fingerprint))
         .number("ends", static_cast<int64_t>(suspect->second.m_crashes.size()))
-        .number("trials", suspect->second.m_trials)
+        .number("trials", suspect->second.m_probesMade)
         .number("suspects", static_cast<int64_t>(m_table.m_suspects.size()))
         .write();
 }
 
 void SuspectTracker::State::reportQuarantined(bool observed)
 {
-    std::vector<SuspectNews> quarantined = newsOf(m_table, MaxSuspectsSent, Clock::now());
+    std::vector<SuspectReport> quarantined = suspectReports(m_table, MaxSuspectsSent, Clock::now());
     std::erase_if(quarantined,
-                  [this](const SuspectNews &report) { return !isCondemned(m_table, report); });
+                  [this](const SuspectReport &report) { return !isQuarantined(m_table, report); });
     m_hooks.m_quarantined(quarantined, observed);
 }
 
@@ -101,17 +101,17 @@
         .text("address", endpoint.m_address)
         .text("print", toString(fingerprint))
         .write();
-    forgetOldSuspects(m_table, now);
+    dropExpiredSuspects(m_table, now);
     const SuspectChange change = stackquay::recordCrash(
-        m_table, fingerprint, processName(endpoint.m_id, endpoint.m_startedMs), now);
+        m_table, fingerprint, processKey(endpoint.m_id, endpoint.m_startedMs), now);
     if (change == SuspectChange::None)
         return;
     logChange(fingerprint, change);
     const Suspect &suspect = m_table.m_suspects[fingerprint];
     LoadMessage message{ LoadChange::Suspected };
-    message.m_suspects = { { fingerprint, suspect.m_crashes, suspect.m_trials, 0 } };
+    message.m_suspects = { { fingerprint, suspect.m_crashes, suspect.m_probesMade, 0 } };
     broadcast(message);
-    if (change != SuspectChange::Condemned)
+    if (change != SuspectChange::Quarantined)
         return;
     rebroadcast(message);
     reportQuarantined(true);
@@ -149,17 +149,17 @@
     m_hooks.m_sendToCell(forwarded);
 }
 
-bool SuspectTracker::State::merge(const std::vector<SuspectNews> &reports)
+bool SuspectTracker::State::merge(const std::vector<SuspectReport> &reports)
 {
     bool changed = false;
     bool quarantined = false;
-    for (const SuspectNews &report : reports) {
-        const SuspectChange change = joinNews(m_table, report, Clock::now());
+    for (const SuspectReport &report : reports) {
+        const SuspectChange change = mergeSuspectReport(m_table, report, Clock::now());
         if (change == SuspectChange::None)
             continue;
         changed = true;
-        quarantined = quarantined || change == SuspectChange::Condemned;
-        logChange(report.m_print, change);
+        quarantined = quarantined || change == SuspectChange::Quarantined;
+        logChange(report.m_fingerprint, change);
     }
     if (quarantined)
         reportQuarantined(false);
@@ -204,9 +204,9 @@
     return m_state->m_table.empty();
 }
 
-bool SuspectTracker::mayKnow(uint64_t outline) const
+bool SuspectTracker::mayContain(uint64_t outline) const
 {
-    return m_state->m_table.mayKnow(outline);
+    return m_state->m_table.mayContain(outline);
 }
 
 bool SuspectTracker::noteBrokenResponse(const std::vector<EndpointRecord> &endpoints,
@@ -230,31 +230,31 @@
     LoadMessage message{ LoadChange::Cleared };
     message.m_fingerprints = { fingerprint };
     message.m_suspects = { { fingerprint, suspect->second.m_crashes, 0, 0 } };
-    noteCleared(table, fingerprint, {}, Clock::now());
+    markCleared(table, fingerprint, {}, Clock::now());
     DecisionLine("relay", "request cleared").text("print", toString(fingerprint)).write();
     m_state->broadcast(std::move(message));
 }
 
-SuspectVerdict SuspectTracker::decideAttempt(const Fingerprint &fingerprint,
-                                             const LoadKey &own) const
+SuspectDecision SuspectTracker::decideAttempt(const Fingerprint &fingerprint,
+                                              const LoadKey &own) const
 {
     return stackquay::decideAttempt(m_state->m_table, fingerprint, own, Clock::now());
 }
 
-void SuspectTracker::beginTry(const Fingerprint &fingerprint, const LoadKey &key, Duration lifetime,
-                              bool own)
+void SuspectTracker::beginSuspectAttempt(const Fingerprint &fingerprint, const LoadKey &key,
+                                         Duration lifetime, bool own)
 {
     const TimePoint now = Clock::now();
-    stackquay::beginTry(m_state->m_table, fingerprint, key, now + lifetime, now);
+    stackquay::beginSuspectAttempt(m_state->m_table, fingerprint, key, now + lifetime, now);
     const auto attempt = m_state->m_table.m_attempts.find(key);
     // The number of probes must survive an exit of all VMs.
-    if (own && attempt != m_state->m_table.m_attempts.end() && attempt->second.m_trial)
+    if (own && attempt != m_state->m_table.m_attempts.end() && attempt->second.m_isProbe)
         m_state->reportQuarantined(true);
 }
 
-void SuspectTracker::endTry(const LoadKey &key)
+void SuspectTracker::endSuspectAttempt(const LoadKey &key)
 {
-    stackquay::endTry(m_state->m_table, key);
+    stackquay::endSuspectAttempt(m_state->m_table, key);
 }
 
 std::optional<Fingerprint> SuspectTracker::suspectOf(const LoadKey &key) const
@@ -262,22 +262,22 @@
     const auto attempt = m_state->m_table.m_attempts.find(key);
     if (attempt == m_state->m_table.m_attempts.end())
         return std::nullopt;
-    return attempt->second.m_print;
+    return attempt->second.m_fingerprint;
 }
 
-std::vector<EndpointRecord> SuspectTracker::eligibleEndpoints(SuspectCare care,
+std::vector<EndpointRecord> SuspectTracker::eligibleEndpoints(SuspectHandling care,
                                                               std::vector<EndpointRecord> pool,
                                                               StreamLedger &ledger) const
 {
-    if (care == SuspectCare::None && m_state->m_table.m_attempts.empty())
+    if (care == SuspectHandling::None && m_state->m_table.m_attempts.empty())
         return pool;
     std::unordered_set<EndpointId> taken;
     for (const auto &[key, attempt] : m_state->m_table.m_attempts) {
         const auto load = ledger.loads().find(key);
         if (load == ledger.loads().end() || load->second.m_parts.empty())
             continue;
-        const SuspectCare other = placementOf(m_state->m_table, attempt.m_print);
-        if (care != SuspectCare::None || other == SuspectCare::LowLoad)
+        const SuspectHandling other = suspectHandling(m_state->m_table, attempt.m_fingerprint);
+        if (care != SuspectHandling::None || other == SuspectHandling::LowLoad)
             taken.insert(load->second.m_parts.front().m_endpoint);
     }
     std::vector<EndpointRecord> free;
@@ -287,7 +287,7 @@
     }
     if (free.empty())
         return pool;
-    if (care != SuspectCare::LowLoad)
+    if (care != SuspectHandling::LowLoad)
         return free;
     return leastLoadedPart(std::move(free), ledger.uses(Clock::now()));
 }
@@ -300,17 +300,18 @@
         return;
     }
     bool cleared = false;
-    for (const SuspectNews &report : message.m_suspects)
-        cleared = noteCleared(m_state->m_table, report.m_print, report.m_crashes, Clock::now())
-                  || cleared;
+    for (const SuspectReport &report : message.m_suspects)
+        cleared =
+            markCleared(m_state->m_table, report.m_fingerprint, report.m_crashes, Clock::now())
+            || cleared;
     // VMs of an earlier version send no process exits.
     for (const Fingerprint &fingerprint : message.m_fingerprints)
-        cleared = noteCleared(m_state->m_table, fingerprint, {}, Clock::now()) || cleared;
+        cleared = markCleared(m_state->m_table, fingerprint, {}, Clock::now()) || cleared;
     if (cleared)
         m_state->forward(message);
 }
 
-void SuspectTracker::merge(const std::vector<SuspectNews> &reports)
+void SuspectTracker::merge(const std::vector<SuspectReport> &reports)
 {
     m_state->merge(reports);
 }
@@ -318,7 +319,7 @@
 std::vector<LoadMessage> SuspectTracker::allSuspects() const
 {
     std::vector<LoadMessage> messages;
-    const auto reports = newsOf(m_state->m_table, MaxSuspectsSent, Clock::now());
+    const auto reports = suspectReports(m_state->m_table, MaxSuspectsSent, Clock::now());
     for (size_t i = 0; i < reports.size(); i += SuspectsPerDatagram) {
         const size_t end = std::min(i + SuspectsPerDatagram, reports.size());
         LoadMessage message{ LoadChange::Suspected };
--- a/relay/suspect_watch.h
+++ b/relay/suspect_watch.h
@@ -24,7 +24,7 @@
     std::function<void(const LoadMessage &message)> m_sendToOtherCells;
     /// Called when the set of quarantined requests changed; @p observed: this VM itself observed
     /// the exit that led to it.
-    std::function<void(const std::vector<SuspectNews> &quarantined, bool observed)> m_quarantined;
+    std::function<void(const std::vector<SuspectReport> &quarantined, bool observed)> m_quarantined;
 };
 
 /// Used on the traffic thread only.
@@ -40,7 +40,7 @@
     bool empty() const;
     /// Whether a request with this outline may be a suspect; otherwise its fingerprint is not
     /// needed.
-    bool mayKnow(uint64_t outline) const;
+    bool mayContain(uint64_t outline) const;
     /// To be called when the response of @p endpoints to the request broke off. Returns whether the
     /// process of one of them has exited, which makes the request a suspect. Blocks the fiber for a
     /// connection attempt, and after an exit for some milliseconds more, so that the suspects of
@@ -50,20 +50,21 @@
     /// To be called when the request received a whole successful response.
     void noteCompleted(const Fingerprint &fingerprint);
     /// Decides how an attempt with the key @p own may run.
-    SuspectVerdict decideAttempt(const Fingerprint &fingerprint, const LoadKey &own) const;
+    SuspectDecision decideAttempt(const Fingerprint &fingerprint, const LoadKey &own) const;
     /// Records an attempt of a suspect; @p own: it is an attempt of this VM.
-    void beginTry(const Fingerprint &fingerprint, const LoadKey &key, Duration lifetime, bool own);
-    void endTry(const LoadKey &key);
+    void beginSuspectAttempt(const Fingerprint &fingerprint, const LoadKey &key, Duration lifetime,
+                             bool own);
+    void endSuspectAttempt(const LoadKey &key);
     /// The suspect that the attempt in flight belongs to; nothing if it belongs to none.
     std::optional<Fingerprint> suspectOf(const LoadKey &key) const;
     /// The endpoints of @p pool on which an attempt with this care may run; all of them if there
     /// are none. Other requests are kept off engines on which a suspect runs alone.
-    std::vector<EndpointRecord> eligibleEndpoints(SuspectCare care,
+    std::vector<EndpointRecord> eligibleEndpoints(SuspectHandling care,
                                                   std::vector<EndpointRecord> pool,
                                                   StreamLedger &ledger) const;
     void receive(const LoadMessage &message);
     /// Merges suspects reported by another VM or read from the store.
-    void merge(const std::vector<SuspectNews> &reports);
+    void merge(const std::vector<SuspectReport> &reports);
     /// All suspects, as messages for a new VM.
     std::vector<LoadMessage> allSuspects() const;
 
--- a/tests/platform/crash_test.cpp
+++ b/tests/platform/crash_test.cpp
@@ -280,7 +280,7 @@
 TEST_F(CondemnedTest, VmsOfOtherCellsKnowIt)
 {
     // Names of VMs that are not there: the fleet is large enough for two cells.
-    for (uint32_t i = 0; i < MostVmsTogether; ++i) {
+    for (uint32_t i = 0; i < MaxVmsPerCell; ++i) {
         m_deployment.m_store->put("stackquay-vms", "other-" + std::to_string(i),
                                   R"({"beats":"127.0.0.1:9","data_centre":"elsewhere"})");
     }
--- a/tests/platform/fleet_test.cpp
+++ b/tests/platform/fleet_test.cpp
@@ -245,7 +245,7 @@
     node.m_thread.post([&] {
         node.place(node.nextKey(), { { id, 100, 1'000 } }, 1'000, Seconds(20));
         for (int i = 0; i < 2; ++i)
-            recordFailure(node.m_ejections, id, FailureWeight::Telling, Clock::now());
+            recordFailure(node.m_ejections, id, FailureWeight::Strong, Clock::now());
         placed.set_value();
     });
     placed.get_future().wait();
--- a/tests/policy/cells_test.cpp
+++ b/tests/policy/cells_test.cpp
@@ -28,7 +28,7 @@
 {
     std::map<EndpointId, uint32_t> assigned;
     for (uint32_t cell = 0; cell < cells; ++cell) {
-        for (const EndpointRecord &engine : cellPool(pool, { cell, cells }))
+        for (const EndpointRecord &engine : endpointsOfCell(pool, { cell, cells }))
             EXPECT_TRUE(assigned.emplace(engine.m_id, cell).second) << engine.m_id.str();
     }
     return assigned;
@@ -38,12 +38,12 @@
 {
     EXPECT_EQ(cellCount(0), 1u);
     EXPECT_EQ(cellCount(1), 1u);
-    EXPECT_EQ(cellCount(MostVmsTogether), 1u);
-    EXPECT_EQ(cellCount(MostVmsTogether + 1), 2u);
+    EXPECT_EQ(cellCount(MaxVmsPerCell), 1u);
+    EXPECT_EQ(cellCount(MaxVmsPerCell + 1), 2u);
     EXPECT_EQ(cellCount(295), 4u);
     EXPECT_EQ(cellCount(1'200), 16u);
     const auto pool = engines(18, 3);
-    EXPECT_EQ(cellPool(pool, cellViewOf(VmId("front-1"), 90)), pool);
+    EXPECT_EQ(endpointsOfCell(pool, cellViewOf(VmId("front-1"), 90)), pool);
 }
 
 // When the number of cells doubles, each cell is split, so a VM with an outdated fleet size still
@@ -67,7 +67,7 @@
         const auto assigned = cellsOf(pool, Cells);
         EXPECT_EQ(assigned.size(), count);
         for (uint32_t cell = 0; cell < Cells; ++cell) {
-            const size_t own = cellPool(pool, { cell, Cells }).size();
+            const size_t own = endpointsOfCell(pool, { cell, Cells }).size();
             EXPECT_LE(own, (count + Cells - 1) / Cells);
             EXPECT_GE(own + Cells, count / Cells);
         }
@@ -81,7 +81,7 @@
     const auto pool = engines(150, 5);
     for (uint32_t cell = 0; cell < Cells; ++cell) {
         std::map<DataCentreId, size_t> enginesByDataCentre;
-        for (const EndpointRecord &engine : cellPool(pool, { cell, Cells }))
+        for (const EndpointRecord &engine : endpointsOfCell(pool, { cell, Cells }))
             ++enginesByDataCentre[engine.m_dataCentre];
         EXPECT_EQ(enginesByDataCentre.size(), 5u);
         for (const auto &[dataCentre, count] : enginesByDataCentre)
@@ -109,7 +109,7 @@
     const auto pool = engines(2, 1);
     size_t cellsWithWholePool = 0;
     for (uint32_t cell = 0; cell < 4; ++cell)
-        cellsWithWholePool += cellPool(pool, { cell, 4 }).size() == pool.size();
+        cellsWithWholePool += endpointsOfCell(pool, { cell, 4 }).size() == pool.size();
     EXPECT_GE(cellsWithWholePool, 2u);
 }
 
--- a/tests/policy/ejection_test.cpp
+++ b/tests/policy/ejection_test.cpp
@@ -20,11 +20,11 @@
 TEST(EjectionTest, TwoConsecutiveWeakFailuresOrOneStrongEject)
 {
     EjectionTable table;
-    EXPECT_FALSE(recordFailure(table, EndpointId("a"), FailureWeight::Chance, Start));
+    EXPECT_FALSE(recordFailure(table, EndpointId("a"), FailureWeight::Weak, Start));
     recordSuccess(table, EndpointId("a"));
-    EXPECT_FALSE(recordFailure(table, EndpointId("a"), FailureWeight::Chance, Start));
-    EXPECT_TRUE(recordFailure(table, EndpointId("a"), FailureWeight::Chance, Start));
-    EXPECT_TRUE(recordFailure(table, EndpointId("b"), FailureWeight::Telling, Start));
+    EXPECT_FALSE(recordFailure(table, EndpointId("a"), FailureWeight::Weak, Start));
+    EXPECT_TRUE(recordFailure(table, EndpointId("a"), FailureWeight::Weak, Start));
+    EXPECT_TRUE(recordFailure(table, EndpointId("b"), FailureWeight::Strong, Start));
     EXPECT_FALSE(recordFailure(table, EndpointId("c"), FailureWeight::None, Start));
     EXPECT_TRUE(isEjected(table, EndpointId("a"), Start));
     EXPECT_TRUE(isEjected(table, EndpointId("b"), Start));
@@ -37,7 +37,7 @@
     TimePoint now = Start;
     Duration longest{};
     for (int i = 0; i < 10; ++i) {
-        ASSERT_TRUE(recordFailure(table, EndpointId("a"), FailureWeight::Telling, now));
+        ASSERT_TRUE(recordFailure(table, EndpointId("a"), FailureWeight::Strong, now));
         const Duration time = table.m_endpoints[EndpointId("a")].m_ejectedUntil - now;
         EXPECT_GE(time, longest);
         EXPECT_LE(time, table.m_settings.m_max);
@@ -56,10 +56,10 @@
     for (const char *id : { "a", "b", "c", "d", "e", "f" })
         pool.push_back(endpoint(id));
     for (const char *id : { "a", "b", "c", "d" })
-        recordFailure(table, EndpointId(id), FailureWeight::Telling, Start);
-    EXPECT_EQ(healthyOf(table, pool, Start).size(), 2u);
-    recordFailure(table, EndpointId("e"), FailureWeight::Telling, Start);
-    EXPECT_EQ(healthyOf(table, pool, Start).size(), 6u);
+        recordFailure(table, EndpointId(id), FailureWeight::Strong, Start);
+    EXPECT_EQ(healthyEndpoints(table, pool, Start).size(), 2u);
+    recordFailure(table, EndpointId("e"), FailureWeight::Strong, Start);
+    EXPECT_EQ(healthyEndpoints(table, pool, Start).size(), 6u);
 }
 
 const EndpointId Bad("bad");
@@ -71,9 +71,9 @@
     EjectionTable table;
     TimePoint now = Start;
     for (int i = 0; i < 100; ++i)
-        EXPECT_FALSE(recordSharedFailure(table, Bad, EndpointCount, 1, now += Millis(10)));
-    EXPECT_FALSE(recordSharedFailure(table, Bad, EndpointCount, 2, now += Millis(10)));
-    EXPECT_TRUE(recordSharedFailure(table, Bad, EndpointCount, 3, now += Millis(10)));
+        EXPECT_FALSE(recordPeerFailure(table, Bad, EndpointCount, 1, now += Millis(10)));
+    EXPECT_FALSE(recordPeerFailure(table, Bad, EndpointCount, 2, now += Millis(10)));
+    EXPECT_TRUE(recordPeerFailure(table, Bad, EndpointCount, 3, now += Millis(10)));
     EXPECT_TRUE(isEjected(table, Bad, now));
 }
 
@@ -84,14 +84,14 @@
     EjectionTable table;
     TimePoint now = Start;
     for (uint64_t vm = 1; vm < 50; ++vm) {
-        EXPECT_FALSE(recordSharedFailure(table, Bad, EndpointCount, vm, now += Millis(20)));
+        EXPECT_FALSE(recordPeerFailure(table, Bad, EndpointCount, vm, now += Millis(20)));
         if (vm % 2 == 0)
-            recordSharedSuccess(table, Bad);
+            recordPeerSuccess(table, Bad);
     }
     // Failures of this VM's own requests are not reset.
-    EXPECT_FALSE(recordFailure(table, Bad, FailureWeight::Chance, now));
-    recordSharedSuccess(table, Bad);
-    EXPECT_TRUE(recordFailure(table, Bad, FailureWeight::Chance, now));
+    EXPECT_FALSE(recordFailure(table, Bad, FailureWeight::Weak, now));
+    recordPeerSuccess(table, Bad);
+    EXPECT_TRUE(recordFailure(table, Bad, FailureWeight::Weak, now));
 }
 
 TEST(PeerFailureTest, FailuresFarApartDoNotEject)
@@ -99,7 +99,7 @@
     EjectionTable table;
     TimePoint now = Start;
     for (uint64_t vm = 1; vm < 50; ++vm) {
-        EXPECT_FALSE(recordSharedFailure(table, Bad, EndpointCount, vm, now));
+        EXPECT_FALSE(recordPeerFailure(table, Bad, EndpointCount, vm, now));
         now += table.m_peerSettings.m_window + Millis(1);
     }
 }
@@ -113,7 +113,7 @@
     for (uint64_t vm = 1; vm <= Vms; ++vm) {
         for (size_t engine = 0; engine < Engines; ++engine) {
             const EndpointId id(std::to_string(engine));
-            EXPECT_FALSE(recordSharedFailure(table, id, Engines, vm, Start + Millis(vm)));
+            EXPECT_FALSE(recordPeerFailure(table, id, Engines, vm, Start + Millis(vm)));
         }
     }
 }
@@ -126,7 +126,7 @@
     std::mt19937_64 random(1);
     for (TimePoint now = Start; now < Start + Seconds(2); now += Millis(5)) {
         const EndpointId id(std::to_string(random() % Engines));
-        EXPECT_FALSE(recordSharedFailure(table, id, Engines, random() % 8, now));
+        EXPECT_FALSE(recordPeerFailure(table, id, Engines, random() % 8, now));
     }
 }
 
@@ -152,14 +152,14 @@
         for (; !failures.empty() && failures.front().m_at <= now; failures.pop_front()) {
             const uint64_t vm = failures.front().m_vm;
             ++failed;
-            recordFailure(tables[vm], Bad, FailureWeight::Chance, now);
-            recordSharedFailure(tables[vm], Bad, EndpointCount, vm, now);
+            recordFailure(tables[vm], Bad, FailureWeight::Weak, now);
+            recordPeerFailure(tables[vm], Bad, EndpointCount, vm, now);
             reports.push_back({ now + ReportDelay, vm });
         }
         for (; !reports.empty() && reports.front().m_at <= now; reports.pop_front()) {
             for (uint64_t vm = 0; vm < vms; ++vm) {
                 if (vm != reports.front().m_vm)
-                    recordSharedFailure(tables[vm], Bad, EndpointCount, reports.front().m_vm, now);
+                    recordPeerFailure(tables[vm], Bad, EndpointCount, reports.front().m_vm, now);
             }
         }
         for (due += perSecond / 1'000; due >= 1; --due) {
--- a/tests/policy/endpoint_directory_test.cpp
+++ b/tests/policy/endpoint_directory_test.cpp
@@ -13,7 +13,7 @@
     for (const std::string &id : ids)
         made.m_endpoints[EndpointId(id)].m_id = EndpointId(id);
     for (const std::string &id : doubtful)
-        made.m_doubtful.insert(EndpointId(id));
+        made.m_unconfirmed.insert(EndpointId(id));
     return made;
 }
 
@@ -25,11 +25,11 @@
 TEST(EndpointDirectoryTest, LaterRevisionReplaces)
 {
     EndpointDirectory own = directory(5, { "a", "b" });
-    EXPECT_TRUE(joinDirectory(own, directory(6, { "b", "c" })));
+    EXPECT_TRUE(mergeDirectory(own, directory(6, { "b", "c" })));
     EXPECT_FALSE(has(own, "a"));
     EXPECT_TRUE(has(own, "c"));
-    EXPECT_EQ(own.m_surePosition.m_revision, 6u);
-    EXPECT_FALSE(joinDirectory(own, directory(6, { "a" })));
+    EXPECT_EQ(own.m_confirmedPosition.m_revision, 6u);
+    EXPECT_FALSE(mergeDirectory(own, directory(6, { "a" })));
     EXPECT_FALSE(has(own, "a"));
 }
 
@@ -38,12 +38,12 @@
 TEST(EndpointDirectoryTest, CompletePeerSettlesUnconfirmedEndpoints)
 {
     EndpointDirectory own = directory(20, { "a", "b" }, { "a" });
-    own.m_surePosition = { 1, 10 };
-    EXPECT_FALSE(joinDirectory(own, directory(9, { "b" }))); // May predate "a".
-    EXPECT_TRUE(joinDirectory(own, directory(15, { "b" })));
+    own.m_confirmedPosition = { 1, 10 };
+    EXPECT_FALSE(mergeDirectory(own, directory(9, { "b" }))); // May predate "a".
+    EXPECT_TRUE(mergeDirectory(own, directory(15, { "b" })));
     EXPECT_FALSE(has(own, "a"));
     EXPECT_TRUE(own.isConfirmed());
-    EXPECT_EQ(own.m_surePosition.m_revision, 20u);
+    EXPECT_EQ(own.m_confirmedPosition.m_revision, 20u);
 }
 
 TEST(EndpointDirectoryTest, IncompletePeerLeavesEndpointsUnconfirmed)
@@ -51,10 +51,10 @@
     EndpointDirectory own = directory(20, { "a", "b" }, { "a" });
     EndpointDirectory started = directory(20, { "b" });
     started.m_complete = false;
-    EXPECT_FALSE(joinDirectory(own, started));
+    EXPECT_FALSE(mergeDirectory(own, started));
     EXPECT_TRUE(has(own, "a"));
     started.m_position = { 1, 21 };
-    EXPECT_TRUE(joinDirectory(own, started));
+    EXPECT_TRUE(mergeDirectory(own, started));
     EXPECT_TRUE(has(own, "a"));
     EXPECT_FALSE(own.isConfirmed());
 }
@@ -62,9 +62,9 @@
 TEST(EndpointDirectoryTest, MergeTakesOverUnconfirmedEndpoints)
 {
     EndpointDirectory own = directory(5, { "a", "b" });
-    EXPECT_TRUE(joinDirectory(own, directory(20, { "a", "b" }, { "a" })));
+    EXPECT_TRUE(mergeDirectory(own, directory(20, { "a", "b" }, { "a" })));
     EXPECT_FALSE(own.isConfirmed());
-    EXPECT_EQ(own.m_surePosition.m_revision, 0u); // Not recorded for revision 5.
+    EXPECT_EQ(own.m_confirmedPosition.m_revision, 0u); // Not recorded for revision 5.
 }
 
 TEST(EndpointDirectoryTest, IncompleteFirstSnapshotStaysIncomplete)
@@ -72,7 +72,7 @@
     EndpointDirectory own;
     EndpointDirectory started = directory(3, { "a" });
     started.m_complete = false;
-    EXPECT_TRUE(joinDirectory(own, started));
+    EXPECT_TRUE(mergeDirectory(own, started));
     EXPECT_FALSE(own.m_complete);
 }
 
@@ -82,10 +82,10 @@
     EndpointDirectory own = directory(1'000, { "a", "b" });
     EndpointDirectory restored = directory(900, { "b", "c" });
     restored.m_position.m_era = 2;
-    EXPECT_TRUE(joinDirectory(own, restored));
+    EXPECT_TRUE(mergeDirectory(own, restored));
     EXPECT_TRUE(has(own, "c"));
     EXPECT_FALSE(has(own, "a"));
-    EXPECT_FALSE(joinDirectory(own, directory(1'001, { "a" })));
+    EXPECT_FALSE(mergeDirectory(own, directory(1'001, { "a" })));
     EXPECT_FALSE(has(own, "a"));
 }
 
@@ -105,7 +105,7 @@
     EndpointDirectory offered = directory(6, { "a" });
     offered.m_complete = false;
     offered.m_unreadable.insert(EndpointId("b"));
-    EXPECT_TRUE(joinDirectory(own, offered));
+    EXPECT_TRUE(mergeDirectory(own, offered));
     EXPECT_FALSE(has(own, "b"));
     EXPECT_TRUE(has(own, "c"));
 }
@@ -117,12 +117,12 @@
     own.m_endpoints[EndpointId("a")] = process("a", 2'000);
     EndpointDirectory offered = directory(6, { "a", "b" });
     offered.m_endpoints[EndpointId("a")] = process("a", 1'000);
-    EXPECT_TRUE(joinDirectory(own, offered));
+    EXPECT_TRUE(mergeDirectory(own, offered));
     EXPECT_EQ(own.m_endpoints.at(EndpointId("a")).m_startedMs, 2'000u);
     EXPECT_TRUE(has(own, "b"));
     offered.m_position = { 1, 7 };
     offered.m_endpoints[EndpointId("a")] = process("a", 3'000);
-    EXPECT_TRUE(joinDirectory(own, offered));
+    EXPECT_TRUE(mergeDirectory(own, offered));
     EXPECT_EQ(own.m_endpoints.at(EndpointId("a")).m_startedMs, 3'000u);
 }
 
--- a/tests/policy/freshness_test.cpp
+++ b/tests/policy/freshness_test.cpp
@@ -10,10 +10,10 @@
 TEST(FreshnessTest, ProofIsValidForItsVersionWithinTheBound)
 {
     const FreshnessProof proof{ 7, Start };
-    EXPECT_TRUE(freshEnough(proof, 7, Seconds(4), Start + Seconds(4)));
-    EXPECT_FALSE(freshEnough(proof, 7, Seconds(4), Start + Seconds(4) + Millis(1)));
-    EXPECT_FALSE(freshEnough(proof, 6, Seconds(4), Start));
-    EXPECT_FALSE(freshEnough({}, 0, Seconds(4), Start));
+    EXPECT_TRUE(isFreshEnough(proof, 7, Seconds(4), Start + Seconds(4)));
+    EXPECT_FALSE(isFreshEnough(proof, 7, Seconds(4), Start + Seconds(4) + Millis(1)));
+    EXPECT_FALSE(isFreshEnough(proof, 6, Seconds(4), Start));
+    EXPECT_FALSE(isFreshEnough({}, 0, Seconds(4), Start));
 }
 
 // Whatever was acknowledged before the time at which 7 was the newest version is part of 8 too.
@@ -21,7 +21,7 @@
 {
     const FreshnessProof older{ 7, Start + Seconds(9) };
     const FreshnessProof newer{ 8, Start };
-    for (const FreshnessProof &joined : { joinProofs(older, newer), joinProofs(newer, older) }) {
+    for (const FreshnessProof &joined : { mergeProofs(older, newer), mergeProofs(newer, older) }) {
         EXPECT_EQ(joined.m_version, 8u);
         EXPECT_EQ(joined.m_provedAt, Start + Seconds(9));
     }
@@ -37,12 +37,12 @@
     const FreshnessProof lost{ 8, Start, 1 };
     const FreshnessProof restored{ 7, Start + Seconds(9), 2 };
     for (const FreshnessProof &joined :
-         { joinProofs(lost, restored), joinProofs(restored, lost) }) {
+         { mergeProofs(lost, restored), mergeProofs(restored, lost) }) {
         EXPECT_EQ(joined.m_version, 8u);
         EXPECT_EQ(joined.m_provedAt, Start);
     }
     const FreshnessProof writtenAgain{ 8, Start + Seconds(12), 2 };
-    EXPECT_EQ(joinProofs(lost, writtenAgain).m_provedAt, Start + Seconds(12));
+    EXPECT_EQ(mergeProofs(lost, writtenAgain).m_provedAt, Start + Seconds(12));
 }
 
 TEST(FreshnessTest, AgeIncludesTheWholeCall)
@@ -55,11 +55,11 @@
 TEST(FreshnessTest, DelayIsRelativeToTheFastestMessage)
 {
     const TimePoint theirs = TimePoint{} + Seconds(77'000);
-    ArrivalClock clock;
-    EXPECT_EQ(delayOf(clock, theirs, Start), Duration::zero());
-    EXPECT_EQ(delayOf(clock, theirs + Seconds(1), Start + Seconds(1) - Millis(3)),
+    DelayEstimator clock;
+    EXPECT_EQ(excessDelay(clock, theirs, Start), Duration::zero());
+    EXPECT_EQ(excessDelay(clock, theirs + Seconds(1), Start + Seconds(1) - Millis(3)),
               Duration::zero());
-    EXPECT_EQ(delayOf(clock, theirs + Seconds(2), Start + Seconds(6)), Seconds(4) + Millis(3));
+    EXPECT_EQ(excessDelay(clock, theirs + Seconds(2), Start + Seconds(6)), Seconds(4) + Millis(3));
 }
 
 } // namespace
--- a/tests/policy/steward_test.cpp
+++ b/tests/policy/steward_test.cpp
@@ -161,12 +161,12 @@
     for (int i = 1; i <= 4; ++i)
         held.insert(ask(request(i)).m_request);
     ask(request(5));
-    const auto removal = endpointLeft(m_steward, EndpointId("e0"), m_now);
+    const auto removal = dropEndpoint(m_steward, EndpointId("e0"), m_now);
     EXPECT_EQ(removal.m_revoked.size(), 2u);
     EXPECT_TRUE(removal.m_decisions.empty());
     EXPECT_EQ(m_steward.m_grants.size(), 2u);
     EXPECT_TRUE(finish(removal.m_revoked[0].m_id).empty());
-    EXPECT_EQ(endpointLeft(m_steward, EndpointId("e0"), m_now).m_revoked.size(), 0u);
+    EXPECT_EQ(dropEndpoint(m_steward, EndpointId("e0"), m_now).m_revoked.size(), 0u);
 }
 
 TEST_F(StewardTest, RefusesRequestsThatCannotBeServed)
@@ -284,7 +284,7 @@
                 break;
             default:
                 if (m_random() % 20 == 0)
-                    applyDecisions(endpointLeft(m_steward, EndpointId("e1"), m_now).m_decisions);
+                    applyDecisions(dropEndpoint(m_steward, EndpointId("e1"), m_now).m_decisions);
                 applyDecisions(updateEndpoint(m_steward, facts("e1"), m_now));
             }
             ASSERT_EQ(open.size(), m_steward.m_waiting.size()) << seed << " " << step;
--- a/tests/relay/condemned_record_test.cpp
+++ b/tests/relay/condemned_record_test.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 const WallTime Now{ Seconds(1'700'000'000) };
-const SuspectNews First{ { 1, 2, 3 }, { 10, 11, 12 }, 0, 500 };
+const SuspectReport First{ { 1, 2, 3 }, { 10, 11, 12 }, 0, 500 };
 
 TEST(QuarantineRecordTest, DecodesWhatWasEncodedWithItsAge)
 {
     const auto read = decodeQuarantined(encodeQuarantined({ First }, Now), Now + Seconds(7));
     ASSERT_TRUE(read);
     ASSERT_EQ(read->size(), 1u);
-    EXPECT_EQ(read->front().m_print, First.m_print);
+    EXPECT_EQ(read->front().m_fingerprint, First.m_fingerprint);
     EXPECT_EQ(read->front().m_crashes, First.m_crashes);
     EXPECT_EQ(read->front().m_ageMs, 7'500u);
 }
@@ -42,16 +42,16 @@
 
 TEST(QuarantineRecordTest, MergeKeepsTheHigherCounts)
 {
-    SuspectNews later = First;
-    later.m_trials = 1;
-    EXPECT_EQ(mergeQuarantined({ First }, { later }).front().m_trials, 1u);
-    EXPECT_EQ(mergeQuarantined({ later }, { First }).front().m_trials, 1u);
+    SuspectReport later = First;
+    later.m_probesMade = 1;
+    EXPECT_EQ(mergeQuarantined({ First }, { later }).front().m_probesMade, 1u);
+    EXPECT_EQ(mergeQuarantined({ later }, { First }).front().m_probesMade, 1u);
     EXPECT_EQ(mergeQuarantined({ First }, { later }).size(), 1u);
 }
 
 TEST(QuarantineRecordTest, MergeKeepsTheNewestEntries)
 {
-    std::vector<SuspectNews> many;
+    std::vector<SuspectReport> many;
     for (uint64_t i = 0; i < 200; ++i)
         many.push_back({ { 0, 9, i }, { 1, 2, 3 }, 0, i });
     const auto merged = mergeQuarantined({ First }, many);
