--- a/control/daemon.cpp
+++ b/control/daemon.cpp
@@ -142,12 +142,12 @@
 {
     beginDrain();
     const DrainPlan plan = m_node->drainPlan();
-    while (!m_node->m_ending && !endsNow(plan, Clock::now(), activeRequests())
+    while (!m_node->m_ending && !shouldExit(plan, Clock::now(), activeRequests())
            && sleepFor(m_control.context(), DrainPoll)) { }
     // A request that was just being read may have been taken, so that there is still work.
     for (const auto &server : m_servers)
         server->drain();
-    const TimePoint giveUp = plan.m_begunAt + plan.m_grace;
+    const TimePoint giveUp = plan.m_drainStartedAt + plan.m_grace;
     while (connected() && !m_node->m_ending && Clock::now() < giveUp
            && sleepFor(m_control.context(), DrainPoll)) { }
     endRequests();
--- a/entry/admission_gate.cpp
+++ b/entry/admission_gate.cpp
@@ -53,7 +53,7 @@
         countSuccess(m_retries, customer, now);
 }
 
-RetryDecision AdmissionGate::mayRetry(const RetryQuestion &question, TimePoint now)
+RetryDecision AdmissionGate::mayRetry(const RetryQuery &question, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
     return stackquay::mayRetry(m_retries, question, now);
--- a/entry/admission_gate.h
+++ b/entry/admission_gate.h
@@ -22,7 +22,7 @@
     void finish(const CustomerId &customer, double admittedTokens, double usedTokens, bool complete,
                 TimePoint now);
     /// Decides whether a request may be retried, and charges a granted retry to the budget.
-    RetryDecision mayRetry(const RetryQuestion &question, TimePoint now);
+    RetryDecision mayRetry(const RetryQuery &question, TimePoint now);
     /// Delay before the next attempt, with jitter from @p random.
     Duration backoff(uint32_t attemptsMade, RandomEngine &random) const;
 
--- a/entry/completion_run.cpp
+++ b/entry/completion_run.cpp
@@ -332,7 +332,7 @@
 RequestEvent CompletionRun::backOff()
 {
     Node &node = m_worker.node();
-    RetryQuestion question;
+    RetryQuery question;
     question.m_customer = m_admitted.m_context.m_customer->m_id;
     question.m_outcome = requestOutcome(m_attempts);
     question.m_repeatable = m_admitted.m_context.m_repeatable;
--- a/entry/node.h
+++ b/entry/node.h
@@ -37,7 +37,7 @@
     DrainPlan drainPlan() const
     {
         DrainPlan plan = m_settings.m_drain;
-        plan.m_begunAt = m_drainBegun;
+        plan.m_drainStartedAt = m_drainBegun;
         return plan;
     }
 
--- a/entry/service_handler.cpp
+++ b/entry/service_handler.cpp
@@ -133,7 +133,7 @@
 bool mayRetry(ServiceRun &run, bool notRun)
 {
     Node &node = run.m_worker.node();
-    RetryQuestion question;
+    RetryQuery question;
     question.m_customer = run.m_context.m_customer->m_id;
     question.m_outcome = requestOutcome(run.m_attempts);
     question.m_repeatable = run.m_repeatable;
--- a/policy/deadline.cpp
+++ b/policy/deadline.cpp
@@ -47,7 +47,7 @@
     return std::max(deadline - now, Duration{});
 }
 
-void learnWait(WaitCorrection &correction, Duration predicted, Duration waited)
+void updateWaitCorrection(WaitCorrection &correction, Duration predicted, Duration waited)
 {
     if (predicted < MinLearnedPrediction)
         return;
@@ -68,7 +68,8 @@
     return deadline - scaled(run, settings.m_safetyFactor);
 }
 
-Duration spreadRetryAfter(const DeadlineSettings &settings, Duration missing, RandomEngine &random)
+Duration jitteredRetryAfter(const DeadlineSettings &settings, Duration missing,
+                            RandomEngine &random)
 {
     const Duration shortest = settings.m_minRetryAfter;
     const Duration longest = settings.m_maxRetryAfter;
@@ -77,9 +78,10 @@
     return scaled(base, factor(random));
 }
 
-std::optional<Refusal> refuseIfLate(const DeadlineSettings &settings, TimePoint deadline,
-                                    const TimePrediction &prediction, TimePoint now,
-                                    RandomEngine &random)
+std::optional<Refusal> refuseIfDeadlineUnmeetable(const DeadlineSettings &settings,
+                                                  TimePoint deadline,
+                                                  const TimePrediction &prediction, TimePoint now,
+                                                  RandomEngine &random)
 {
     const Duration left = timeLeft(deadline, now);
     const Duration needed = scaled(prediction.m_wait + prediction.m_run, settings.m_safetyFactor);
@@ -89,7 +91,7 @@
     const bool waitingHelps =
         left > Duration{} && scaled(prediction.m_run, settings.m_safetyFactor) <= left;
     const Duration retryAfter =
-        waitingHelps ? spreadRetryAfter(settings, needed - left, random) : Duration{};
+        waitingHelps ? jitteredRetryAfter(settings, needed - left, random) : Duration{};
     const auto leftMs = std::chrono::floor<Millis>(left);
     const auto neededMs = std::chrono::ceil<Millis>(needed);
     return Refusal{ RequestError::DeadlineUnmeetable, Outcome::RefusedNotRun,
--- a/policy/deadline.h
+++ b/policy/deadline.h
@@ -49,7 +49,7 @@
 };
 
 /// Updates the correction by a request that waited for @p waited until it started or was abandoned.
-void learnWait(WaitCorrection &correction, Duration predicted, Duration waited);
+void updateWaitCorrection(WaitCorrection &correction, Duration predicted, Duration waited);
 /// The predicted wait multiplied by the correction factor.
 Duration correctedWait(const WaitCorrection &correction, Duration predicted);
 
@@ -59,12 +59,14 @@
 /// Retry-After of a refused request: one to two times @p missing, at random, so that refused
 /// callers do not retry at the same time. @p missing is first clamped to the limits of the
 /// settings.
-Duration spreadRetryAfter(const DeadlineSettings &settings, Duration missing, RandomEngine &random);
+Duration jitteredRetryAfter(const DeadlineSettings &settings, Duration missing,
+                            RandomEngine &random);
 
 /// Returns a refusal if the request cannot meet its deadline, no value if it can. The refusal's
 /// retryAfter is zero if the deadline has passed or the run alone takes longer than the time left.
-std::optional<Refusal> refuseIfLate(const DeadlineSettings &settings, TimePoint deadline,
-                                    const TimePrediction &prediction, TimePoint now,
-                                    RandomEngine &random);
+std::optional<Refusal> refuseIfDeadlineUnmeetable(const DeadlineSettings &settings,
+                                                  TimePoint deadline,
+                                                  const TimePrediction &prediction, TimePoint now,
+                                                  RandomEngine &random);
 
 } // namespace stackquay
--- a/policy/drain.cpp
+++ b/policy/drain.cpp
@@ -4,26 +4,27 @@
 
 bool isDraining(const DrainPlan &plan)
 {
-    return plan.m_begunAt != TimePoint{};
+    return plan.m_drainStartedAt != TimePoint{};
 }
 
-bool canEnd(const DrainPlan &plan, TimePoint now, Duration expected)
+bool canFinishInGrace(const DrainPlan &plan, TimePoint now, Duration expected)
 {
-    return !isDraining(plan) || expected <= plan.m_begunAt + plan.m_grace - now;
+    return !isDraining(plan) || expected <= plan.m_drainStartedAt + plan.m_grace - now;
 }
 
-bool mayTake(const DrainPlan &plan, TimePoint now, const RequestTime &time)
+bool mayTake(const DrainPlan &plan, TimePoint now, const RequestDuration &time)
 {
-    if (canEnd(plan, now, time.m_max))
+    if (canFinishInGrace(plan, now, time.m_max))
         return true;
-    return now < plan.m_begunAt + plan.m_balancerNotice && canEnd(plan, now, time.m_expected);
+    return now < plan.m_drainStartedAt + plan.m_balancerNotice
+           && canFinishInGrace(plan, now, time.m_expected);
 }
 
-bool endsNow(const DrainPlan &plan, TimePoint now, size_t inProgress)
+bool shouldExit(const DrainPlan &plan, TimePoint now, size_t inProgress)
 {
-    if (now >= plan.m_begunAt + plan.m_grace)
+    if (now >= plan.m_drainStartedAt + plan.m_grace)
         return true;
-    return inProgress == 0 && now >= plan.m_begunAt + plan.m_linger;
+    return inProgress == 0 && now >= plan.m_drainStartedAt + plan.m_linger;
 }
 
 } // namespace stackquay
--- a/policy/drain.h
+++ b/policy/drain.h
@@ -13,7 +13,7 @@
 namespace stackquay {
 
 struct DrainPlan {
-    TimePoint m_begunAt{}; ///< When the drain started; TimePoint{}: not draining.
+    TimePoint m_drainStartedAt{}; ///< When the drain started; TimePoint{}: not draining.
     /// Time from the start of the drain until the balancer stops sending new connections.
     Duration m_balancerNotice{};
     /// Min time from the start of the drain to exit, to answer requests on open connections.
@@ -27,16 +27,16 @@
 bool isDraining(const DrainPlan &plan);
 /// Whether work that takes @p expected from now ends within the grace period. Always true if the
 /// daemon is not draining.
-bool canEnd(const DrainPlan &plan, TimePoint now, Duration expected);
+bool canFinishInGrace(const DrainPlan &plan, TimePoint now, Duration expected);
 /// How long a request takes.
-struct RequestTime {
+struct RequestDuration {
     Duration m_expected{};
     Duration m_max = Duration::max(); ///< The request is aborted after this.
 };
 
 /// Whether to accept a request that arrives now.
-bool mayTake(const DrainPlan &plan, TimePoint now, const RequestTime &time);
+bool mayTake(const DrainPlan &plan, TimePoint now, const RequestDuration &time);
 /// Whether the draining daemon exits now, given @p inProgress requests.
-bool endsNow(const DrainPlan &plan, TimePoint now, size_t inProgress);
+bool shouldExit(const DrainPlan &plan, TimePoint now, size_t inProgress);
 
 } // namespace stackquay
--- a/policy/retry.h
+++ b/policy/retry.h
@@ -55,7 +55,7 @@
 Duration retryBackoff(const RetrySettings &settings, uint32_t attemptsMade, RandomEngine &random);
 
 /// A failed attempt of a request, and what another attempt would need.
-struct RetryQuestion {
+struct RetryQuery {
     CustomerId m_customer;
     Outcome m_outcome = Outcome::FailedMayHaveRun; ///< Of the last attempt.
     bool m_repeatable = true; ///< Whether the request may run more than once.
@@ -78,7 +78,7 @@
 
 /// Decides whether to make another attempt. Withdraws a unit from the budgets only if the result is
 /// Retry and the last attempt sent a byte.
-RetryDecision mayRetry(RetryBudgets &budgets, const RetryQuestion &query, TimePoint now);
+RetryDecision mayRetry(RetryBudgets &budgets, const RetryQuery &query, TimePoint now);
 
 /// Name of a decision in logs, such as "no_time".
 std::string_view retryDecisionName(RetryDecision decision);
--- a/policy/retry_window.cpp
+++ b/policy/retry_window.cpp
@@ -21,22 +21,22 @@
     window.m_requests.push_back(now);
 }
 
-bool repeatsLeft(RetryWindows &windows, const ServiceId &service, TimePoint now)
+bool hasRetryBudget(RetryWindows &windows, const ServiceId &service, TimePoint now)
 {
     const RetryWindowSettings &settings = windows.m_settings;
     RetryWindow &window = windows.m_services[service];
     removeBefore(window.m_requests, now - settings.m_window);
     removeBefore(window.m_retries, now - settings.m_window);
-    const double slack = settings.m_slack / std::max(settings.m_sharers, 1u);
+    const double slack = settings.m_slack / std::max(settings.m_maxSharingVms, 1u);
     const double allowed =
         settings.m_safetyFactor
         * (settings.m_ratio * static_cast<double>(window.m_requests.size()) + slack);
     return static_cast<double>(window.m_retries.size()) + 1 <= allowed;
 }
 
-bool takeRepeat(RetryWindows &windows, const ServiceId &service, TimePoint now)
+bool spendRetryBudget(RetryWindows &windows, const ServiceId &service, TimePoint now)
 {
-    if (!repeatsLeft(windows, service, now))
+    if (!hasRetryBudget(windows, service, now))
         return false;
     windows.m_services[service].m_retries.push_back(now);
     return true;
--- a/policy/retry_window.h
+++ b/policy/retry_window.h
@@ -16,7 +16,7 @@
 struct RetryWindowSettings {
     double m_ratio = 0.1; ///< Retries per client request.
     double m_slack = 10; ///< Fixed allowance of the whole fleet, in retries per window.
-    uint32_t m_sharers = 1; ///< Max number of VMs that share m_slack.
+    uint32_t m_maxSharingVms = 1; ///< Max number of VMs that share m_slack.
     Duration m_window = Seconds(10);
     /// Fraction of the budget that is used, as the windows of the VMs and of an observer of the
     /// fleet are not aligned.
@@ -39,8 +39,8 @@
 void countArrival(RetryWindows &windows, const ServiceId &service, TimePoint now);
 
 /// Whether the budget allows a retry to @p service now.
-bool repeatsLeft(RetryWindows &windows, const ServiceId &service, TimePoint now);
+bool hasRetryBudget(RetryWindows &windows, const ServiceId &service, TimePoint now);
 /// Records a retry to @p service and returns true if the budget allows it; else returns false.
-bool takeRepeat(RetryWindows &windows, const ServiceId &service, TimePoint now);
+bool spendRetryBudget(RetryWindows &windows, const ServiceId &service, TimePoint now);
 
 } // namespace stackquay
--- a/policy/route_table.cpp
+++ b/policy/route_table.cpp
@@ -13,8 +13,8 @@
         for (const WeightedService &weighted : route.m_services) {
             const auto service = table.m_services.find(weighted.m_service);
             if (service != table.m_services.end())
-                service->second.m_longestAim =
-                    std::max(service->second.m_longestAim, route.m_latencyTarget);
+                service->second.m_longestLatencyTarget =
+                    std::max(service->second.m_longestLatencyTarget, route.m_latencyTarget);
         }
     }
 }
--- a/policy/route_table.h
+++ b/policy/route_table.h
@@ -37,7 +37,7 @@
     Millis m_timeout{ 10'000 }; ///< Max time until the final answer.
     /// Latency target: a first answer or event within this time earns full credit.
     Millis m_latencyTarget{ 1'000 };
-    Millis m_gapAim{ 0 }; ///< Longest tolerated gap between events; zero: none declared.
+    Millis m_gapLimit{ 0 }; ///< Longest tolerated gap between events; zero: none declared.
     uint32_t m_maxAttempts = 1; ///< Max number of endpoints that one request may be sent to.
     uint32_t m_priority = 5; ///< 0 is the most urgent.
     bool m_public = false; ///< Requests need no key.
@@ -56,7 +56,7 @@
     uint32_t m_maxConnections = 0;
     std::optional<EngineCosts> m_engine; ///< No value: a plain service.
     /// The longest latency target of the routes to this service; set by indexRoutes().
-    Millis m_longestAim{ 0 };
+    Millis m_longestLatencyTarget{ 0 };
 };
 
 /// Limits on the requests and connections of clients.
@@ -68,7 +68,7 @@
 };
 
 /// The customer that a key belongs to, and the key's priority.
-struct KeyHolder {
+struct ApiKeyOwner {
     CustomerId m_customer;
     std::optional<uint32_t> m_priority; ///< Overrides the priority of the route.
 };
@@ -79,7 +79,7 @@
     std::unordered_map<ServiceId, DeclaredService> m_services;
     ClientLimits m_limits;
     bool m_hasCustomers = false; ///< False: no request needs a key.
-    std::unordered_map<std::string, KeyHolder> m_keys;
+    std::unordered_map<std::string, ApiKeyOwner> m_keys;
     /// Indices into m_routes by host, longest prefix first; set by indexRoutes().
     std::unordered_map<std::string, std::vector<uint32_t>> m_byHost;
 };
--- a/policy/steward.cpp
+++ b/policy/steward.cpp
@@ -251,8 +251,8 @@
                                    const TimePrediction &prediction, TimePoint now,
                                    RandomEngine &random)
 {
-    return refuseIfLate(steward.m_settings.m_deadlines, request.m_deadline, prediction, now,
-                        random);
+    return refuseIfDeadlineUnmeetable(steward.m_settings.m_deadlines, request.m_deadline,
+                                      prediction, now, random);
 }
 
 /// Queues a request that fits on no endpoint now, unless it may not wait or cannot meet its
--- a/policy/turn_plan.h
+++ b/policy/turn_plan.h
@@ -43,7 +43,7 @@
                             StreamLedger &ledger, TimePoint now);
 
 /// Load of one side of @p pool: of the engines in @p strictSide if @p strict, else of the others.
-/// Leaves m_longestAim to the caller.
+/// Leaves m_longestLatencyTarget to the caller.
 SideLoad sideLoadOf(const EngineCosts &costs, const std::vector<EndpointRecord> &pool,
                     const std::unordered_set<EndpointId> &strictSide, const EndpointUses &uses,
                     const ActivePrefills &prefills, bool strict);
--- a/policy/turn_queue.cpp
+++ b/policy/turn_queue.cpp
@@ -24,7 +24,7 @@
 /// Backlog of an engine below which further prompts may start.
 FloatMillis maxBacklogPerEngine(const DispatchSettings &settings, const SideLoad &load)
 {
-    return load.m_longestAim * settings.m_maxBacklogShare;
+    return load.m_longestLatencyTarget * settings.m_maxBacklogShare;
 }
 
 } // namespace
--- a/policy/turn_queue.h
+++ b/policy/turn_queue.h
@@ -95,7 +95,8 @@
 
 /// Current load of one side of a pool: the engines of strict streams, or those of long prompts.
 struct SideLoad {
-    Duration m_longestAim{}; ///< Longest latency target of the routes that share the pool.
+    Duration
+        m_longestLatencyTarget{}; ///< Longest latency target of the routes that share the pool.
     uint32_t m_strictStreams = 0; ///< On the engines that are assigned to strict streams.
     uint32_t m_slots = 0; ///< Of all engines of the side.
     size_t m_engines = 1; ///< At least one.
--- a/relay/relay_daemon.cpp
+++ b/relay/relay_daemon.cpp
@@ -409,12 +409,12 @@
         .write();
     m_clients->closeAfterAnswers();
     m_fleet->announceDrain();
-    while (!endsNow(plan, Clock::now(), m_clients->activeRequests())
+    while (!shouldExit(plan, Clock::now(), m_clients->activeRequests())
            && sleepFor(m_control.context(), DrainPoll)) { }
     m_fleet->removeObject();
     const TimePoint now = Clock::now();
     const TimePoint goneBy =
-        std::clamp(plan.m_begunAt + plan.m_grace, now + ShutdownTime, now + MaxRemovalTime);
+        std::clamp(plan.m_drainStartedAt + plan.m_grace, now + ShutdownTime, now + MaxRemovalTime);
     abortRequests();
     m_fleet->announceExit(goneBy);
     DecisionLine("main", "drained")
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -263,19 +263,19 @@
     m_retries.m_settings.m_ratio = view.m_bounds.m_retryRatio;
     m_retries.m_settings.m_slack = view.m_bounds.m_retrySlack;
     m_retries.m_settings.m_window = view.m_bounds.m_retryWindow;
-    m_retries.m_settings.m_sharers = static_cast<uint32_t>(view.m_vms * SharerMargin) + 1;
+    m_retries.m_settings.m_maxSharingVms = static_cast<uint32_t>(view.m_vms * SharerMargin) + 1;
 }
 
 bool RelayNode::mayRetry(const ServiceId &service, const RelayView &view)
 {
     setRetryBounds(view);
-    return repeatsLeft(m_retries, service, Clock::now());
+    return hasRetryBudget(m_retries, service, Clock::now());
 }
 
-bool RelayNode::takeRepeat(const ServiceId &service, const RelayView &view)
+bool RelayNode::spendRetryBudget(const ServiceId &service, const RelayView &view)
 {
     setRetryBounds(view);
-    const bool taken = ::stackquay::takeRepeat(m_retries, service, Clock::now());
+    const bool taken = ::stackquay::spendRetryBudget(m_retries, service, Clock::now());
     (taken ? m_metrics.m_repeats : m_metrics.m_repeatsRefused).add();
     return taken;
 }
--- a/relay/relay_node.h
+++ b/relay/relay_node.h
@@ -81,8 +81,8 @@
     /// connection may have been closed for its age, so those do not count.
     void reportBrokenResponse(const EndpointId &endpoint);
     /// Takes one retry at @p service out of the retry budget of @p view; false if it is used up.
-    bool takeRepeat(const ServiceId &service, const RelayView &view);
-    /// Whether takeRepeat() would currently succeed.
+    bool spendRetryBudget(const ServiceId &service, const RelayView &view);
+    /// Whether spendRetryBudget() would currently succeed.
     bool mayRetry(const ServiceId &service, const RelayView &view);
 
 private:
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -102,7 +102,7 @@
         return {};
     SideLoad load = sideLoadOf(*m_service->m_engine, *pool, seen.m_strictSide, seen.m_uses,
                                m_node.m_ledger.activeLongPrefills(), isStrictGap(gapLimitMs()));
-    load.m_longestAim = m_service->m_longestAim;
+    load.m_longestLatencyTarget = m_service->m_longestLatencyTarget;
     return load;
 }
 
@@ -129,7 +129,7 @@
     return std::chrono::duration_cast<Duration>(needed * slack + decodeDuration(costs, answer));
 }
 
-RequestTime RelayRun::timeNeeded() const
+RequestDuration RelayRun::timeNeeded() const
 {
     const Duration most = m_deadline - m_arrival;
     return { std::min(timeToComplete(ExpectedSlack), most), most };
@@ -144,7 +144,8 @@
     if (!isDraining(view->m_drain))
         return false;
     constexpr double NoSlack = 1;
-    return !canEnd(view->m_drain, Clock::now(), std::min(timeToComplete(NoSlack), remainingTime()));
+    return !canFinishInGrace(view->m_drain, Clock::now(),
+                             std::min(timeToComplete(NoSlack), remainingTime()));
 }
 
 DispatchDecision RelayRun::checkTurn(const QueuedRequest &turn, DispatchObstacle before)
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -223,13 +223,13 @@
         return false;
     if (m_mayHaveRun > 0 && (atMostOnce() || m_mayHaveRun >= m_route->m_maxAttempts))
         return false;
-    return m_sentAttempts == 0 || m_node.takeRepeat(m_serviceId, *m_view);
+    return m_sentAttempts == 0 || m_node.spendRetryBudget(m_serviceId, *m_view);
 }
 
 Duration RelayRun::clientPatience() const
 {
     return std::max({ MinClientPatience, m_route->m_latencyTarget * PatienceAims,
-                      m_route->m_gapAim * PatienceGaps });
+                      m_route->m_gapLimit * PatienceGaps });
 }
 
 void RelayRun::finishUnanswered()
@@ -307,7 +307,7 @@
         .number("first_ms", std::chrono::duration_cast<Millis>(m_firstEventDelay).count())
         .number("longest_gap_ms", std::chrono::duration_cast<Millis>(m_longestGap).count())
         .number("aim_ms", m_route ? m_route->m_latencyTarget.count() : 0)
-        .number("gap_aim_ms", m_route ? m_route->m_gapAim.count() : 0)
+        .number("gap_aim_ms", m_route ? m_route->m_gapLimit.count() : 0)
         .number("drain_ms", arrivedInDrainMs())
         .number("ms", std::chrono::duration_cast<Millis>(now - m_arrival).count())
         .write();
@@ -318,7 +318,7 @@
     const RelayViewPtr view = m_node.m_view.load();
     if (!isDraining(view->m_drain))
         return -1;
-    return std::chrono::duration_cast<Millis>(m_arrival - view->m_drain.m_begunAt).count();
+    return std::chrono::duration_cast<Millis>(m_arrival - view->m_drain.m_drainStartedAt).count();
 }
 
 Millis RelayRun::retryDelay() const
--- a/relay/relay_run.h
+++ b/relay/relay_run.h
@@ -63,7 +63,7 @@
     PoolState poolState() const;
     std::optional<GangPlan> choosePlan(DisruptionPolicy care, const PoolState &seen);
     bool isModelRequest() const;
-    uint32_t gapLimitMs() const { return static_cast<uint32_t>(m_route->m_gapAim.count()); }
+    uint32_t gapLimitMs() const { return static_cast<uint32_t>(m_route->m_gapLimit.count()); }
     /// Blocks until this request may begin, and returns its placement. Nothing if the request ends
     /// before, or, for a request that needs no turn, if no endpoint can take it.
     std::optional<GangPlan> awaitTurn();
@@ -77,7 +77,7 @@
     /// Expected time from the start of an attempt to its end on fully loaded engines; @p slack is
     /// the factor by which its parts may exceed the declared costs.
     Duration timeToComplete(double slack) const;
-    RequestTime timeNeeded() const;
+    RequestDuration timeNeeded() const;
     /// Whether the request has not run, and an attempt that begins now cannot end before the
     /// draining daemon stops.
     bool cannotFinishInDrain() const;
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -145,7 +145,7 @@
     const Route *route = findRoute(*table, "h", "/p/1");
     ASSERT_NE(route, nullptr);
     EXPECT_EQ(route->m_kind, RouteKind::Stream);
-    EXPECT_EQ(route->m_gapAim, Millis(250));
+    EXPECT_EQ(route->m_gapLimit, Millis(250));
     EXPECT_TRUE(route->m_resumable);
     EXPECT_EQ(route->m_services.size(), 2u);
     const DeclaredService &engine = table->m_services.at(ServiceId("a"));
--- a/tests/policy/deadline_test.cpp
+++ b/tests/policy/deadline_test.cpp
@@ -33,23 +33,24 @@
     settings.m_safetyFactor = 1;
     RandomEngine random(1);
     const TimePoint deadline = Start + Seconds(10);
-    EXPECT_FALSE(refuseIfLate(settings, deadline, { Seconds(6), Seconds(4) }, Start, random));
+    EXPECT_FALSE(
+        refuseIfDeadlineUnmeetable(settings, deadline, { Seconds(6), Seconds(4) }, Start, random));
     const auto refusal =
-        refuseIfLate(settings, deadline, { Seconds(7), Seconds(4) }, Start, random);
+        refuseIfDeadlineUnmeetable(settings, deadline, { Seconds(7), Seconds(4) }, Start, random);
     ASSERT_TRUE(refusal);
     EXPECT_EQ(refusal->m_error, RequestError::DeadlineUnmeetable);
     EXPECT_EQ(refusal->m_outcome, Outcome::RefusedNotRun);
     EXPECT_GE(refusal->m_retryAfter, Seconds(1));
     EXPECT_LE(refusal->m_retryAfter, Seconds(2));
-    EXPECT_TRUE(refuseIfLate(settings, deadline, {}, deadline, random));
+    EXPECT_TRUE(refuseIfDeadlineUnmeetable(settings, deadline, {}, deadline, random));
     EXPECT_EQ(timeLeft(deadline, deadline + Seconds(1)), Duration{});
 }
 
 TEST(Deadline, NoRetryAfterIfTheRunAloneIsTooLong)
 {
     RandomEngine random(1);
-    const auto refusal =
-        refuseIfLate({}, Start + Seconds(10), { Seconds(0), Seconds(60) }, Start, random);
+    const auto refusal = refuseIfDeadlineUnmeetable({}, Start + Seconds(10),
+                                                    { Seconds(0), Seconds(60) }, Start, random);
     ASSERT_TRUE(refusal);
     EXPECT_EQ(refusal->m_retryAfter, Duration{});
 }
@@ -58,11 +59,11 @@
 {
     WaitCorrection correction;
     for (int i = 0; i < 200; ++i)
-        learnWait(correction, Seconds(2), Seconds(6));
+        updateWaitCorrection(correction, Seconds(2), Seconds(6));
     EXPECT_NEAR(correction.m_factor, 3, 0.01);
     EXPECT_GT(correctedWait(correction, Seconds(2)), Millis(5'900));
     for (int i = 0; i < 500; ++i)
-        learnWait(correction, Seconds(2), Seconds(1));
+        updateWaitCorrection(correction, Seconds(2), Seconds(1));
     EXPECT_EQ(correctedWait(correction, Seconds(2)), Seconds(2));
 }
 
@@ -73,7 +74,7 @@
     Duration least = Seconds(100);
     Duration most{};
     for (int i = 0; i < 1'000; ++i) {
-        const Duration advice = spreadRetryAfter(settings, Seconds(10), random);
+        const Duration advice = jitteredRetryAfter(settings, Seconds(10), random);
         least = std::min(least, advice);
         most = std::max(most, advice);
     }
--- a/tests/policy/drain_plan_test.cpp
+++ b/tests/policy/drain_plan_test.cpp
@@ -15,7 +15,7 @@
     const DrainPlan none;
     EXPECT_FALSE(isDraining(none));
     EXPECT_TRUE(mayTake(none, Begun, { Seconds(1'000) }));
-    EXPECT_TRUE(canEnd(none, Begun, Seconds(1'000)));
+    EXPECT_TRUE(canFinishInGrace(none, Begun, Seconds(1'000)));
 }
 
 TEST(DrainPlanTest, AcceptsUntilTheBalancerNotices)
@@ -37,23 +37,23 @@
 
 TEST(DrainPlanTest, AcceptsLaterOnlyIfTheLongestDurationFits)
 {
-    const RequestTime bounded{ Millis(10), Millis(2'000) };
+    const RequestDuration bounded{ Millis(10), Millis(2'000) };
     EXPECT_TRUE(mayTake(Plan, Begun + Millis(5'000), bounded));
     EXPECT_FALSE(mayTake(Plan, Begun + Millis(5'001), bounded));
 }
 
 TEST(DrainPlanTest, AcceptedRequestsContinueAfterTheNotice)
 {
-    EXPECT_TRUE(canEnd(Plan, Begun + Millis(4'000), Millis(3'000)));
-    EXPECT_FALSE(canEnd(Plan, Begun + Millis(4'000), Millis(3'001)));
+    EXPECT_TRUE(canFinishInGrace(Plan, Begun + Millis(4'000), Millis(3'000)));
+    EXPECT_FALSE(canFinishInGrace(Plan, Begun + Millis(4'000), Millis(3'001)));
 }
 
 TEST(DrainPlanTest, ExitsWhenIdleButNotBeforeTheLingerTime)
 {
-    EXPECT_FALSE(endsNow(Plan, Begun + Millis(2'999), 0));
-    EXPECT_TRUE(endsNow(Plan, Begun + Millis(3'000), 0));
-    EXPECT_FALSE(endsNow(Plan, Begun + Millis(6'999), 1));
-    EXPECT_TRUE(endsNow(Plan, Begun + Millis(7'000), 1));
+    EXPECT_FALSE(shouldExit(Plan, Begun + Millis(2'999), 0));
+    EXPECT_TRUE(shouldExit(Plan, Begun + Millis(3'000), 0));
+    EXPECT_FALSE(shouldExit(Plan, Begun + Millis(6'999), 1));
+    EXPECT_TRUE(shouldExit(Plan, Begun + Millis(7'000), 1));
 }
 
 // The grace period also ends the drain if it is shorter than the notice of the balancer.
@@ -61,7 +61,7 @@
 {
     const DrainPlan plan{ Begun, Millis(2'000), Millis(3'000), Millis(1'000) };
     EXPECT_FALSE(mayTake(plan, Begun + Millis(990), { Millis(11) }));
-    EXPECT_TRUE(endsNow(plan, Begun + Millis(1'000), 5));
+    EXPECT_TRUE(shouldExit(plan, Begun + Millis(1'000), 5));
 }
 
 } // namespace
--- a/tests/policy/gang_plan_test.cpp
+++ b/tests/policy/gang_plan_test.cpp
@@ -410,9 +410,9 @@
     SideLoad load;
     load.m_engines = 10;
     load.m_activePrefills = { settings.m_minConcurrentPrefills, 8'000 };
-    load.m_longestAim = Seconds(2);
+    load.m_longestLatencyTarget = Seconds(2);
     EXPECT_EQ(prefillsAllowed(settings, load), 0u);
-    load.m_longestAim = Seconds(4);
+    load.m_longestLatencyTarget = Seconds(4);
     EXPECT_EQ(prefillsAllowed(settings, load), 1u);
 }
 
@@ -517,7 +517,7 @@
 {
     const DispatchSettings settings;
     SideLoad load;
-    load.m_longestAim = Seconds(3);
+    load.m_longestLatencyTarget = Seconds(3);
     load.m_engines = 4;
     load.m_slots = 64;
     load.m_activePrefills = { settings.m_minConcurrentPrefills - 1, 10'000 };
@@ -543,7 +543,7 @@
     const DispatchSettings settings;
     const double read = prefillDuration(declaredEngineCosts(), 190'000).count();
     SideLoad load;
-    load.m_longestAim = Seconds(3);
+    load.m_longestLatencyTarget = Seconds(3);
     load.m_engines = 48;
     load.m_activePrefills = { 7, 7 * read };
     EXPECT_GE(prefillsAllowed(settings, load), 1u);
@@ -583,7 +583,7 @@
 {
     const DispatchSettings settings;
     SideLoad load;
-    load.m_longestAim = Seconds(3);
+    load.m_longestLatencyTarget = Seconds(3);
     for (const size_t engines : { 4, 18, 75, 300 }) {
         load.m_engines = engines;
         EXPECT_TRUE(isCheapPrefill(settings, declaredEngineCosts(), load, 45'000)) << engines;
--- a/tests/policy/overload_test.cpp
+++ b/tests/policy/overload_test.cpp
@@ -165,15 +165,15 @@
         const Duration predicted = at(ahead / Capacity) - Start;
         const Duration wait = correctedWait(m_corrections[job.m_caller], predicted);
         const TimePrediction prediction{ wait, at(runTime(job)) - Start };
-        const auto refusal =
-            refuseIfLate(m_deadlines, at(job.m_deadline), prediction, at(m_now), m_random);
+        const auto refusal = refuseIfDeadlineUnmeetable(m_deadlines, at(job.m_deadline), prediction,
+                                                        at(m_now), m_random);
         if (refusal)
             return refuse(job, refusal->m_retryAfter);
         const PushResult pushed = m_queue.push(waiting);
         if (pushed.m_displaced)
             refuseQueued(*pushed.m_displaced);
         if (!pushed.m_accepted)
-            return refuse(job, spreadRetryAfter(m_deadlines, Seconds(1), m_random));
+            return refuse(job, jitteredRetryAfter(m_deadlines, Seconds(1), m_random));
         m_result.m_admitted += 1;
         m_jobs[waiting.m_id] = job;
         m_jobs[waiting.m_id].m_predicted = predicted;
@@ -207,14 +207,15 @@
 
     void recordWait(const Job &job)
     {
-        learnWait(m_corrections[job.m_caller], job.m_predicted, at(m_now) - at(job.m_arrived));
+        updateWaitCorrection(m_corrections[job.m_caller], job.m_predicted,
+                             at(m_now) - at(job.m_arrived));
     }
 
     void refuseQueued(const WaitingRequest &waiting)
     {
         const Job job = m_jobs.at(waiting.m_id);
         m_jobs.erase(waiting.m_id);
-        refuse(job, spreadRetryAfter(m_deadlines, Seconds(1), m_random));
+        refuse(job, jitteredRetryAfter(m_deadlines, Seconds(1), m_random));
     }
 
     /// Most callers retry after the given delay, up to a number of attempts, with a new deadline.
--- a/tests/policy/pool_sim.cpp
+++ b/tests/policy/pool_sim.cpp
@@ -224,7 +224,7 @@
                           strictDemandOf(m_load.m_costs, m_strictQueue, m_ledger, now), now);
         view->m_side = sideLoadOf(m_load.m_costs, m_pool, strictSide, view->m_uses,
                                   m_ledger.activeLongPrefills(), strict);
-        view->m_side.m_longestAim = longestAim();
+        view->m_side.m_longestLatencyTarget = longestAim();
         view->m_sides = splitPool(m_pool, strictSide, strict);
         return *view;
     }
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -8,9 +8,9 @@
 const TimePoint Start{ Seconds(1'000) };
 const CustomerId Carrick{ "carrick" };
 
-RetryQuestion query()
+RetryQuery query()
 {
-    RetryQuestion result;
+    RetryQuery result;
     result.m_customer = Carrick;
     result.m_deadline = Start + Seconds(30);
     return result;
@@ -29,18 +29,18 @@
     RetryBudgets budgets = filledBudgets();
     EXPECT_EQ(mayRetry(budgets, query(), Start), RetryDecision::Retry);
 
-    RetryQuestion complete = query();
+    RetryQuery complete = query();
     complete.m_outcome = Outcome::Complete;
     EXPECT_EQ(mayRetry(budgets, complete, Start), RetryDecision::NotNeeded);
 
-    RetryQuestion late = query();
+    RetryQuery late = query();
     late.m_backoff = Seconds(2);
     EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(28)), RetryDecision::NoTime);
     EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(27)), RetryDecision::Retry);
     late.m_needed = Seconds(1);
     EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(27)), RetryDecision::NoTime);
 
-    RetryQuestion often = query();
+    RetryQuery often = query();
     often.m_attemptsMade = budgets.m_settings.m_maxAttempts;
     EXPECT_EQ(mayRetry(budgets, often, Start), RetryDecision::AttemptsUsedUp);
 
@@ -51,7 +51,7 @@
 TEST(Retry, NonRepeatableIsNotRetriedAfterAByteWasSent)
 {
     RetryBudgets budgets = filledBudgets();
-    RetryQuestion once = query();
+    RetryQuery once = query();
     once.m_repeatable = false;
     for (const Outcome outcome : { Outcome::RefusedNotRun, Outcome::FailedMayHaveRun }) {
         once.m_outcome = outcome;
@@ -68,7 +68,7 @@
 TEST(Retry, UnsentAttemptsCostNoBudget)
 {
     RetryBudgets budgets;
-    RetryQuestion unsent = query();
+    RetryQuery unsent = query();
     unsent.m_anyByteSent = false;
     unsent.m_lastByteSent = false;
     EXPECT_EQ(mayRetry(budgets, unsent, Start), RetryDecision::Retry);
@@ -118,7 +118,7 @@
         const CustomerId customer{ std::to_string(random() % 10) };
         countAdmission(budgets, customer, now);
         result.m_admitted += 1;
-        RetryQuestion failed;
+        RetryQuery failed;
         failed.m_customer = customer;
         failed.m_deadline = now + Seconds(30);
         failed.m_anyByteSent = false;
@@ -176,7 +176,7 @@
             continue;
         }
         failures += 1;
-        RetryQuestion failed = query();
+        RetryQuery failed = query();
         failed.m_deadline = now + Seconds(30);
         if (mayRetry(budgets, failed, now) == RetryDecision::Retry) {
             retried += 1;
--- a/tests/policy/retry_window_test.cpp
+++ b/tests/policy/retry_window_test.cpp
@@ -29,7 +29,7 @@
         countArrival(vm, Plain, now);
         requests.push_back(now);
         for (int attempt = 0; attempt < 3; ++attempt) {
-            if (takeRepeat(vm, Plain, now))
+            if (spendRetryBudget(vm, Plain, now))
                 retries.push_back(now);
         }
     }
@@ -51,11 +51,11 @@
 {
     RetryWindows windows;
     windows.m_settings = { 0, 2, 1, Seconds(10), 1 };
-    EXPECT_TRUE(takeRepeat(windows, Plain, Start));
-    EXPECT_TRUE(takeRepeat(windows, Plain, Start));
-    EXPECT_FALSE(takeRepeat(windows, Plain, Start));
-    EXPECT_TRUE(takeRepeat(windows, ServiceId("other"), Start));
-    EXPECT_TRUE(takeRepeat(windows, Plain, Start + Seconds(11)));
+    EXPECT_TRUE(spendRetryBudget(windows, Plain, Start));
+    EXPECT_TRUE(spendRetryBudget(windows, Plain, Start));
+    EXPECT_FALSE(spendRetryBudget(windows, Plain, Start));
+    EXPECT_TRUE(spendRetryBudget(windows, ServiceId("other"), Start));
+    EXPECT_TRUE(spendRetryBudget(windows, Plain, Start + Seconds(11)));
 }
 
 } // namespace
