--- a/relay/fleet_link.cpp
+++ b/relay/fleet_link.cpp
@@ -59,7 +59,7 @@
 constexpr size_t ContactsPerCell = 2;
 
 struct Peer {
-    Beat m_lastHeartbeat; ///< The last one received.
+    Heartbeat m_lastHeartbeat; ///< The last one received.
     DelayEstimator m_clock;
     TimePoint m_lastHeardAt{};
     bool m_alive = false; ///< No sign that its process has exited.
@@ -69,7 +69,7 @@
     bool isAvailable() const { return m_alive && !m_lastHeartbeat.m_draining; }
 };
 
-/// See the members of Beat.
+/// See the members of Heartbeat.
 struct HeartbeatFlags {
     bool m_isReply = false;
     bool m_requestsLoads = false;
@@ -136,7 +136,7 @@
     void sendHeartbeat(const Address &to, Peer &peer, bool answer);
     void sendHeartbeat(const Address &to, const HeartbeatFlags &kind);
     void receive(const Address &from, std::string_view bytes);
-    void handleHeartbeat(const Address &from, Peer &peer, const Beat &heartbeat);
+    void handleHeartbeat(const Address &from, Peer &peer, const Heartbeat &heartbeat);
     void announceTo(const Address &from, Peer &peer, bool hadNoPeers);
     void applyProof(Peer &peer);
     bool hasNoPeers() const;
@@ -169,19 +169,19 @@
         return;
     const auto sinceEpoch = Clock::now().time_since_epoch();
     const auto sentUs = std::chrono::duration_cast<std::chrono::microseconds>(sinceEpoch).count();
-    const Beat heartbeat{ m_settings.m_vm,
-                          m_settings.m_dataCentre,
-                          m_origin,
-                          static_cast<uint64_t>(sentUs),
-                          m_settings.m_peerCalls,
-                          m_settings.m_loads,
-                          m_hooks.m_ownSummary(),
-                          m_watchesStore,
-                          m_draining,
-                          m_gone,
-                          kind.m_isReply,
-                          kind.m_requestsLoads,
-                          m_registeredVms };
+    const Heartbeat heartbeat{ m_settings.m_vm,
+                               m_settings.m_dataCentre,
+                               m_origin,
+                               static_cast<uint64_t>(sentUs),
+                               m_settings.m_peerRpc,
+                               m_settings.m_loads,
+                               m_hooks.m_ownSummary(),
+                               m_watchesStore,
+                               m_draining,
+                               m_gone,
+                               kind.m_isReply,
+                               kind.m_requestsLoads,
+                               m_registeredVms };
     m_socket.send(*endpoint, encodeMessage(heartbeat));
 }
 
@@ -224,7 +224,7 @@
 
 void FleetLink::State::receive(const Address &from, std::string_view bytes)
 {
-    const Result<Beat> heartbeat = decodeMessage<Beat>(bytes);
+    const Result<Heartbeat> heartbeat = decodeMessage<Heartbeat>(bytes);
     if (!heartbeat || heartbeat->m_origin == m_origin || m_gone)
         return;
     noteFleetSize(heartbeat->m_fleetVms);
@@ -240,7 +240,7 @@
         handleHeartbeat(from, peer, *heartbeat);
 }
 
-void FleetLink::State::handleHeartbeat(const Address &from, Peer &peer, const Beat &heartbeat)
+void FleetLink::State::handleHeartbeat(const Address &from, Peer &peer, const Heartbeat &heartbeat)
 {
     const bool hadNoPeers = hasNoPeers();
     const uint64_t before = peer.m_lastHeartbeat.m_origin;
@@ -595,10 +595,10 @@
         [state](const StateRequest &request) -> Result<StateSnapshot> {
             return state->m_hooks.m_answerRequest(request);
         });
-    const auto calls = state->m_server.listen(state->m_settings.m_peerCalls);
+    const auto calls = state->m_server.listen(state->m_settings.m_peerRpc);
     if (!calls)
         return tl::unexpected(calls.error());
-    state->m_settings.m_peerCalls = *calls;
+    state->m_settings.m_peerRpc = *calls;
     return {};
 }
 
--- a/relay/fleet_messages.h
+++ b/relay/fleet_messages.h
@@ -24,7 +24,7 @@
 };
 
 /// Sent to each peer by UDP periodically, and after changes.
-struct Beat {
+struct Heartbeat {
     VmId m_vm;
     DataCentreId m_dataCentre;
     uint64_t m_origin = 0; ///< Identifies one process of the VM.
--- a/relay/load_exchange.h
+++ b/relay/load_exchange.h
@@ -13,7 +13,7 @@
 
 namespace stackquay {
 
-enum class LoadChange : uint8_t {
+enum class LoadEvent : uint8_t {
     Placed = 0,
     FirstEvent = 1,
     Ended = 2,
@@ -25,7 +25,7 @@
 };
 
 struct LoadMessage {
-    LoadChange m_change = LoadChange::Placed;
+    LoadEvent m_change = LoadEvent::Placed;
     LoadKey m_key;
     /// Placed: the load on each endpoint. Ejected and BrokenOff: the endpoint.
     std::vector<LoadPart> m_parts{};
@@ -82,4 +82,4 @@
 
 } // namespace stackquay
 
-MSGPACK_ADD_ENUM(stackquay::LoadChange)
+MSGPACK_ADD_ENUM(stackquay::LoadEvent)
--- a/relay/memory_tickets.cpp
+++ b/relay/memory_tickets.cpp
@@ -21,7 +21,7 @@
 struct Reservation {
     EndpointRecord m_endpoint; ///< The process that holds the memory.
     Address m_address;
-    MemoryOrder m_request;
+    EngineReservation m_request;
 };
 
 /// Sends nothing if another process runs under the endpoint's id now: it does not have the
@@ -40,7 +40,7 @@
 Millis holdDuration(const RelayBounds &bounds)
 {
     const auto hold = std::chrono::duration_cast<Millis>(bounds.m_memoryReleaseTime * HoldShare);
-    return std::min(hold, bounds.m_longestHold);
+    return std::min(hold, bounds.m_maxHold);
 }
 
 void release(RelayNode &node, const std::vector<Reservation> &reservations)
@@ -61,17 +61,17 @@
 
 } // namespace
 
-struct MemoryTickets::Shared {
+struct MemoryReservations::Shared {
     std::vector<Reservation> m_reservations;
     bool m_released = false;
 };
 
-MemoryTickets::MemoryTickets(RelayNode &node)
+MemoryReservations::MemoryReservations(RelayNode &node)
     : m_node(node)
     , m_shared(std::make_shared<Shared>())
 { }
 
-MemoryTickets::~MemoryTickets()
+MemoryReservations::~MemoryReservations()
 {
     m_shared->m_released = true;
     if (m_shared->m_reservations.empty())
@@ -79,7 +79,7 @@
     spawnFiber([&node = m_node, shared = m_shared] { release(node, shared->m_reservations); });
 }
 
-void MemoryTickets::releaseAll()
+void MemoryReservations::releaseAll()
 {
     if (m_shared->m_reservations.empty())
         return;
@@ -89,7 +89,7 @@
     m_shared->m_reservations.clear();
 }
 
-Status MemoryTickets::reserve(const std::vector<GangMember> &members, const bool &abandoned)
+Status MemoryReservations::reserve(const std::vector<GangMember> &members, const bool &abandoned)
 {
     std::vector<GangMember> wanted;
     std::copy_if(members.begin(), members.end(), std::back_inserter(wanted),
@@ -148,7 +148,7 @@
     return {};
 }
 
-std::string MemoryTickets::ticketFor(const EndpointId &endpoint) const
+std::string MemoryReservations::ticketFor(const EndpointId &endpoint) const
 {
     for (const Reservation &reservation : m_shared->m_reservations) {
         if (reservation.m_endpoint.m_id == endpoint)
--- a/relay/memory_tickets.h
+++ b/relay/memory_tickets.h
@@ -13,14 +13,14 @@
 
 namespace stackquay {
 
-class MemoryTickets
+class MemoryReservations
 {
 public:
-    explicit MemoryTickets(RelayNode &node);
+    explicit MemoryReservations(RelayNode &node);
     /// Releases all reservations in the background.
-    ~MemoryTickets();
-    MemoryTickets(const MemoryTickets &) = delete;
-    MemoryTickets &operator=(const MemoryTickets &) = delete;
+    ~MemoryReservations();
+    MemoryReservations(const MemoryReservations &) = delete;
+    MemoryReservations &operator=(const MemoryReservations &) = delete;
 
     /// Reserves the memory that @p members request, in the order of the endpoint ids, so that two
     /// requests cannot deadlock. After an error nothing stays reserved; see refusingEndpoint().
--- a/relay/relay_attempt.cpp
+++ b/relay/relay_attempt.cpp
@@ -44,7 +44,7 @@
 RelayRun::AttemptResult RelayRun::attempt(const GangPlan &plan)
 {
     m_plan = &plan;
-    MemoryTickets reservations(m_node);
+    MemoryReservations reservations(m_node);
     const Status reserved = reservations.reserve(plan.m_members, m_clientDisconnected);
     if (!reserved) {
         m_node.end(m_loadKey);
@@ -90,7 +90,8 @@
                     std::chrono::duration_cast<Duration>(plan.m_firstEvent * LateFactor));
 }
 
-HttpRequest RelayRun::upstreamRequest(const GangPlan &plan, const MemoryTickets &reservations) const
+HttpRequest RelayRun::upstreamRequest(const GangPlan &plan,
+                                      const MemoryReservations &reservations) const
 {
     const HttpRequest &request = m_exchange.request();
     AttemptHead head;
@@ -104,12 +105,12 @@
         const EndpointRecord &helper = plan.m_members[i].m_endpoint;
         head.m_helpers.push_back({ helper.m_address, reservations.ticketFor(helper.m_id) });
     }
-    return { request.m_method, request.m_target, m_node.m_dialect.m_writeAttempt(m_head, head),
-             request.m_body };
+    return { request.m_method, request.m_target,
+             m_node.m_dialect.m_writeAttemptHeaders(m_head, head), request.m_body };
 }
 
 RelayRun::AttemptResult RelayRun::attemptPlaced(const GangPlan &plan,
-                                                const MemoryTickets &reservations)
+                                                const MemoryReservations &reservations)
 {
     const EndpointRecord &endpoint = plan.m_members.front().m_endpoint;
     const auto address = parseAddress(endpoint.m_address);
@@ -235,7 +236,7 @@
         connection.readHeader(std::max<Duration>(firstEventBy - Clock::now(), Millis(1)));
     if (!response)
         return failRead(connection, endpoint, response.error());
-    const AnswerHead head = m_node.m_dialect.m_readAnswer(*response);
+    const ResponseHead head = m_node.m_dialect.m_readResponseHead(*response);
     const bool ours = head.m_id == m_head.m_id || (head.m_id.empty() && !reused);
     if (!ours)
         return failAttempt(endpoint, FailureWeight::Weak, "the answer belongs to another request");
@@ -248,16 +249,16 @@
 
 RelayRun::AttemptResult RelayRun::handleRefusal(HttpConnection &connection,
                                                 const EndpointRecord &endpoint,
-                                                const AnswerHead &head,
+                                                const ResponseHead &head,
                                                 const HttpResponse &response, bool reused)
 {
     --m_mayHaveRun;
     m_triedEndpoints.insert(endpoint.m_id);
     m_failureReason = fmt::format("refused by the endpoint with status {}", response.m_status);
     EndpointId faulty = endpoint.m_id;
-    if (!head.m_faultyAddress.empty()) {
+    if (!head.m_failedAddress.empty()) {
         for (const EndpointRecord &candidate : candidates()) {
-            if (candidate.m_address == head.m_faultyAddress)
+            if (candidate.m_address == head.m_failedAddress)
                 faulty = candidate.m_id;
         }
         m_triedEndpoints.insert(faulty);
@@ -281,8 +282,8 @@
 
 RelayRun::AttemptResult RelayRun::relayWholeResponse(HttpConnection &connection,
                                                      const EndpointRecord &endpoint,
-                                                     const AnswerHead &head, HttpResponse response,
-                                                     TimePoint firstEventBy)
+                                                     const ResponseHead &head,
+                                                     HttpResponse response, TimePoint firstEventBy)
 {
     const TimePoint by = std::max(firstEventBy, Clock::now() + BodyTimeout);
     auto body = connection.readWhole(std::min(by, m_deadline) - Clock::now());
@@ -291,7 +292,7 @@
     if (!head.m_signed || head.m_encoded)
         return failAttempt(endpoint, FailureWeight::Weak, "the answer is not the endpoint's own");
     response.m_body = std::move(*body);
-    response.m_headers = head.m_endToEnd;
+    response.m_headers = head.m_forwardedHeaders;
     if (response.m_status < StatusServerError) {
         recordSuccess(m_node.m_ejections, endpoint.m_id);
         noteCompleted(response.m_status);
@@ -318,8 +319,8 @@
 
 RelayRun::AttemptResult RelayRun::relayStream(HttpConnection &connection,
                                               const EndpointRecord &endpoint,
-                                              const AnswerHead &head, const HttpResponse &response,
-                                              TimePoint firstEventBy)
+                                              const ResponseHead &head,
+                                              const HttpResponse &response, TimePoint firstEventBy)
 {
     if (!head.m_signed || head.m_encoded)
         return failAttempt(endpoint, FailureWeight::Weak, "the answer is not the endpoint's own");
@@ -358,7 +359,7 @@
     }
     if (!m_streaming) {
         m_streaming = true;
-        m_exchange.startStream(response.m_status, head.m_endToEnd);
+        m_exchange.startStream(response.m_status, head.m_forwardedHeaders);
     }
     m_exchange.finish();
     noteCompleted(response.m_status);
@@ -366,7 +367,7 @@
     return AttemptResult::Answered;
 }
 
-void RelayRun::forwardEvents(const AnswerHead &head, unsigned status, const std::string &batch)
+void RelayRun::forwardEvents(const ResponseHead &head, unsigned status, const std::string &batch)
 {
     const TimePoint now = Clock::now();
     Status passed;
@@ -377,7 +378,7 @@
         m_streaming = true;
         m_firstEventDelay = now - m_arrival;
         m_node.m_metrics.recordFirstEventTime(*m_route, m_firstEventDelay);
-        passed = m_exchange.startStream(status, head.m_endToEnd, batch);
+        passed = m_exchange.startStream(status, head.m_forwardedHeaders, batch);
     }
     m_clientDisconnected = m_clientDisconnected || !passed;
     m_lastForwardedAt = now;
--- a/relay/relay_daemon.h
+++ b/relay/relay_daemon.h
@@ -14,7 +14,7 @@
 
 /// Codecs for one kind of platform.
 struct RelayAdapter {
-    const RelayDialect &m_requests;
+    const RelayCodec &m_requests;
     const KindDialect &m_objects;
     const RelaySource &m_source;
 };
--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -23,7 +23,7 @@
 LoadMessage waitingMessage(const LoadKey &key, uint32_t gapLimitMs, const QueuedRequest &turn,
                            TimePoint now)
 {
-    LoadMessage message{ LoadChange::Waiting, key };
+    LoadMessage message{ LoadEvent::Waiting, key };
     message.m_gapLimitMs = gapLimitMs;
     message.m_expiresMs = millisOf(turn.m_expiresAt - now);
     message.m_aimMs = millisOf(turn.m_targetAt - now);
@@ -43,7 +43,7 @@
 
 } // namespace
 
-RelayNode::RelayNode(FiberThread &thread, RelaySettings settings, const RelayDialect &dialect)
+RelayNode::RelayNode(FiberThread &thread, RelaySettings settings, const RelayCodec &dialect)
     : m_settings(std::move(settings))
     , m_dialect(dialect)
     , m_thread(thread)
@@ -78,7 +78,7 @@
 LoadMessage RelayNode::placedMessage(const LoadKey &key, const AttemptLoad &load,
                                      TimePoint now) const
 {
-    LoadMessage message{ LoadChange::Placed, key };
+    LoadMessage message{ LoadEvent::Placed, key };
     message.m_parts = load.m_parts;
     message.m_gapLimitMs = load.m_gapLimitMs;
     message.m_expiresMs = millisOf(load.m_expiresAt - now);
@@ -120,7 +120,7 @@
 void RelayNode::recordFirstEvent(const LoadKey &key)
 {
     m_ledger.recordFirstEvent(key);
-    m_loads.send(LoadMessage{ LoadChange::FirstEvent, key });
+    m_loads.send(LoadMessage{ LoadEvent::FirstEvent, key });
 }
 
 void RelayNode::end(const LoadKey &key)
@@ -129,7 +129,7 @@
     const bool placed = m_ledger.end(key);
     const bool waited = removeFromQueues(key);
     if (placed || waited)
-        m_loads.send(LoadMessage{ LoadChange::Ended, key });
+        m_loads.send(LoadMessage{ LoadEvent::Ended, key });
 }
 
 std::unordered_set<EndpointId> RelayNode::strictSide(const ServiceId &service,
@@ -225,7 +225,7 @@
     if (m_stopping || !recordFailure(m_ejections, endpoint, weight, Clock::now()))
         return;
     if (weight == FailureWeight::Strong) {
-        LoadMessage message{ LoadChange::Ejected, nextKey() };
+        LoadMessage message{ LoadEvent::Ejected, nextKey() };
         message.m_parts = { { endpoint, 0, 0 } };
         message.m_dataCentre = m_settings.m_dataCentre;
         m_loads.send(message);
@@ -235,7 +235,7 @@
 
 void RelayNode::reportBrokenResponse(const EndpointId &endpoint)
 {
-    LoadMessage message{ LoadChange::BrokenOff, nextKey() };
+    LoadMessage message{ LoadEvent::BrokenOff, nextKey() };
     message.m_parts = { { endpoint, 0, 0 } };
     m_loads.send(message);
     recordBrokenResponse(endpoint, m_origin);
@@ -284,20 +284,20 @@
 {
     const TimePoint now = Clock::now();
     switch (message.m_change) {
-    case LoadChange::Waiting:
+    case LoadEvent::Waiting:
         queueOf(message.m_gapLimitMs)[message.m_key] = { now + Millis(message.m_aimMs),
                                                          Millis(message.m_neededMs),
                                                          now + Millis(message.m_expiresMs),
                                                          Millis(message.m_leadMs) };
         return;
-    case LoadChange::Ejected:
+    case LoadEvent::Ejected:
         // Only a failure seen from the same data centre shows that this VM cannot reach the
         // endpoint either.
         if (message.m_dataCentre == m_settings.m_dataCentre && !message.m_parts.empty())
             recordFailure(m_ejections, message.m_parts.front().m_endpoint, FailureWeight::Strong,
                           now);
         return;
-    case LoadChange::Placed:
+    case LoadEvent::Placed:
         removeFromQueues(message.m_key);
         m_ledger.place(message.m_key,
                        { message.m_parts, message.m_gapLimitMs, message.m_writing,
@@ -306,21 +306,21 @@
             m_suspects.beginSuspectAttempt(suspect, message.m_key, Millis(message.m_expiresMs),
                                            false);
         return;
-    case LoadChange::BrokenOff:
+    case LoadEvent::BrokenOff:
         if (!message.m_parts.empty())
             recordBrokenResponse(message.m_parts.front().m_endpoint, message.m_key.m_origin);
         return;
-    case LoadChange::FirstEvent:
+    case LoadEvent::FirstEvent:
         recordResponse(message.m_key);
         m_ledger.recordFirstEvent(message.m_key);
         return;
-    case LoadChange::Ended:
+    case LoadEvent::Ended:
         removeFromQueues(message.m_key);
         m_ledger.end(message.m_key);
         m_suspects.endSuspectAttempt(message.m_key);
         return;
-    case LoadChange::Suspected:
-    case LoadChange::Cleared:
+    case LoadEvent::Suspected:
+    case LoadEvent::Cleared:
         m_suspects.receive(message);
         return;
     }
--- a/relay/relay_node.h
+++ b/relay/relay_node.h
@@ -17,7 +17,7 @@
 /// Used on the traffic thread only, except for the atomics.
 struct RelayNode {
     /// @p thread is the traffic thread; it must be stopped before the node is destroyed.
-    RelayNode(FiberThread &thread, RelaySettings settings, const RelayDialect &dialect);
+    RelayNode(FiberThread &thread, RelaySettings settings, const RelayCodec &dialect);
 
     // Any thread.
     std::atomic<RelayViewPtr> m_view;
@@ -26,7 +26,7 @@
     std::atomic<bool> m_stopping{ false };
 
     const RelaySettings m_settings;
-    const RelayDialect &m_dialect;
+    const RelayCodec &m_dialect;
     FiberThread &m_thread;
     MetricsRegistry m_registry;
     RelayMetrics m_metrics{ m_registry };
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -50,7 +50,7 @@
     : m_node(node)
     , m_exchange(exchange)
     , m_arrival(Clock::now())
-    , m_head(node.m_dialect.m_readRequest(exchange.request()))
+    , m_head(node.m_dialect.m_readRequestHead(exchange.request()))
     , m_view(node.m_view.load())
     , m_lastEvent(m_head.m_lastEvent)
 {
@@ -269,7 +269,7 @@
 {
     HttpResponse response;
     response.m_status = status;
-    response.m_headers = m_node.m_dialect.m_writeAnswer(m_head.m_id);
+    response.m_headers = m_node.m_dialect.m_writeResponseHeaders(m_head.m_id);
     response.m_headers.push_back({ "Content-Type", "application/json" });
     if (retryAfter > Millis(0))
         response.m_headers.push_back({ "Retry-After", retryAfterText(retryAfter) });
--- a/relay/relay_run.h
+++ b/relay/relay_run.h
@@ -91,16 +91,17 @@
 
     // relay_attempt.cpp
     AttemptResult attempt(const GangPlan &plan);
-    AttemptResult attemptPlaced(const GangPlan &plan, const MemoryTickets &reservations);
+    AttemptResult attemptPlaced(const GangPlan &plan, const MemoryReservations &reservations);
     AttemptResult processResponse(HttpConnection &connection, const EndpointRecord &endpoint,
                                   bool reused, TimePoint firstEventBy);
     AttemptResult relayWholeResponse(HttpConnection &connection, const EndpointRecord &endpoint,
-                                     const AnswerHead &head, HttpResponse response,
+                                     const ResponseHead &head, HttpResponse response,
                                      TimePoint firstEventBy);
     AttemptResult handleRefusal(HttpConnection &connection, const EndpointRecord &endpoint,
-                                const AnswerHead &head, const HttpResponse &response, bool reused);
+                                const ResponseHead &head, const HttpResponse &response,
+                                bool reused);
     AttemptResult relayStream(HttpConnection &connection, const EndpointRecord &endpoint,
-                              const AnswerHead &head, const HttpResponse &response,
+                              const ResponseHead &head, const HttpResponse &response,
                               TimePoint firstEventBy);
     AttemptResult failAttempt(const EndpointRecord &endpoint, FailureWeight weight,
                               std::string_view why);
@@ -115,8 +116,8 @@
     AttemptResult failSilentConnection(const HttpConnection &connection,
                                        const EndpointRecord &endpoint);
     bool collectEvents(EventSplitter &events, std::string &batch);
-    void forwardEvents(const AnswerHead &head, unsigned status, const std::string &batch);
-    HttpRequest upstreamRequest(const GangPlan &plan, const MemoryTickets &reservations) const;
+    void forwardEvents(const ResponseHead &head, unsigned status, const std::string &batch);
+    HttpRequest upstreamRequest(const GangPlan &plan, const MemoryReservations &reservations) const;
     bool mayRetry() const;
     Duration streamSilenceTimeout() const;
     Duration firstEventTimeout(const GangPlan &plan) const;
--- a/relay/relay_settings.h
+++ b/relay/relay_settings.h
@@ -16,7 +16,7 @@
     Seconds m_grace{ 8 }; ///< Time from SIGTERM to SIGKILL.
     /// Time within which service has to recover after a disturbance.
     Millis m_recoveryTime{ 3'000 };
-    Millis m_longestHold{ 20'000 }; ///< Maximum hold time of a memory reservation.
+    Millis m_maxHold{ 20'000 }; ///< Maximum hold time of a memory reservation.
     /// Time within which memory must be free after its last use.
     Millis m_memoryReleaseTime{ 4'000 };
 
@@ -37,7 +37,7 @@
     DataCentreId m_dataCentre;
     Address m_clients; ///< Listening address for clients.
     Address m_ready; ///< Listening address for readiness checks and metrics.
-    Address m_peerCalls; ///< RPC between VMs, TCP.
+    Address m_peerRpc; ///< RPC between VMs, TCP.
     Address m_heartbeats; ///< Heartbeats between VMs, UDP.
     Address m_loads; ///< Load messages between VMs, UDP.
     Address m_store;
--- a/relay/suspect_watch.cpp
+++ b/relay/suspect_watch.cpp
@@ -108,7 +108,7 @@
         return;
     logChange(fingerprint, change);
     const Suspect &suspect = m_table.m_suspects[fingerprint];
-    LoadMessage message{ LoadChange::Suspected };
+    LoadMessage message{ LoadEvent::Suspected };
     message.m_suspects = { { fingerprint, suspect.m_crashes, suspect.m_probesMade, 0 } };
     broadcast(message);
     if (change != SuspectChange::Quarantined)
@@ -227,7 +227,7 @@
     const auto suspect = table.m_suspects.find(fingerprint);
     if (suspect == table.m_suspects.end())
         return;
-    LoadMessage message{ LoadChange::Cleared };
+    LoadMessage message{ LoadEvent::Cleared };
     message.m_fingerprints = { fingerprint };
     message.m_suspects = { { fingerprint, suspect->second.m_crashes, 0, 0 } };
     markCleared(table, fingerprint, {}, Clock::now());
@@ -294,7 +294,7 @@
 
 void SuspectTracker::receive(const LoadMessage &message)
 {
-    if (message.m_change == LoadChange::Suspected) {
+    if (message.m_change == LoadEvent::Suspected) {
         if (m_state->merge(message.m_suspects))
             m_state->forward(message);
         return;
@@ -322,7 +322,7 @@
     const auto reports = suspectReports(m_state->m_table, MaxSuspectsSent, Clock::now());
     for (size_t i = 0; i < reports.size(); i += SuspectsPerDatagram) {
         const size_t end = std::min(i + SuspectsPerDatagram, reports.size());
-        LoadMessage message{ LoadChange::Suspected };
+        LoadMessage message{ LoadEvent::Suspected };
         message.m_suspects.assign(reports.begin() + static_cast<ptrdiff_t>(i),
                                   reports.begin() + static_cast<ptrdiff_t>(end));
         message.m_cell = m_state->m_hooks.m_cell().m_cell;
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -27,7 +27,7 @@
     EXPECT_EQ(settings->m_vm.str(), "front-a-1");
     EXPECT_EQ(settings->m_dataCentre.str(), "a");
     EXPECT_EQ(toString(settings->m_clients), "10.1.0.40:8227");
-    EXPECT_EQ(toString(settings->m_peerCalls), "10.1.0.40:7340");
+    EXPECT_EQ(toString(settings->m_peerRpc), "10.1.0.40:7340");
     EXPECT_EQ(toString(settings->m_loads), "10.1.0.40:7341");
     EXPECT_EQ(toString(settings->m_store), "10.200.1.7:8223");
     EXPECT_EQ(settings->m_connections, 2'000u);
@@ -59,21 +59,22 @@
 
 TEST(RequestCodecTest, ReadsAClientsHead)
 {
-    const RelayHead head = relayDialect().m_readRequest({ "POST",
-                                                          "/a/b",
-                                                          { { "Host", "h" },
-                                                            { "x-request-id", "r1" },
-                                                            { "X-Deadline-Ms", "1500" },
-                                                            { "X-Token-Counts", "1460, 80" },
-                                                            { "Last-Event-Id", "12" },
-                                                            { "Api-Key", "secret" },
-                                                            { "X-Helpers", "1.2.3.4:5" },
-                                                            { "X-Request-Urgency", "0" },
-                                                            { "X-Length-Hint", "70" },
-                                                            { "Connection", "X-Drop" },
-                                                            { "X-Drop", "1" },
-                                                            { "Transfer-Encoding", "chunked" } },
-                                                          "" });
+    const RelayHead head =
+        relayDialect().m_readRequestHead({ "POST",
+                                           "/a/b",
+                                           { { "Host", "h" },
+                                             { "x-request-id", "r1" },
+                                             { "X-Deadline-Ms", "1500" },
+                                             { "X-Token-Counts", "1460, 80" },
+                                             { "Last-Event-Id", "12" },
+                                             { "Api-Key", "secret" },
+                                             { "X-Helpers", "1.2.3.4:5" },
+                                             { "X-Request-Urgency", "0" },
+                                             { "X-Length-Hint", "70" },
+                                             { "Connection", "X-Drop" },
+                                             { "X-Drop", "1" },
+                                             { "Transfer-Encoding", "chunked" } },
+                                           "" });
     EXPECT_EQ(head.m_id.str(), "r1");
     EXPECT_EQ(head.m_deadline, Millis(1'500));
     EXPECT_EQ(head.m_promptTokens, 1'460u);
@@ -81,7 +82,7 @@
     EXPECT_EQ(head.m_lastEvent, 12u);
     EXPECT_EQ(head.m_key, "secret");
     std::string names;
-    for (const HttpHeader &header : head.m_endToEnd)
+    for (const HttpHeader &header : head.m_forwardedHeaders)
         names += header.m_name + ";";
     EXPECT_EQ(names, "Host;x-request-id;X-Token-Counts;X-Length-Hint;");
 }
@@ -89,7 +90,7 @@
 TEST(RequestCodecTest, WritesAnAttempt)
 {
     RelayHead request;
-    request.m_endToEnd = { { "X-Model", "m" } };
+    request.m_forwardedHeaders = { { "X-Model", "m" } };
     AttemptHead attempt;
     attempt.m_endpoint = EndpointId("i-1");
     attempt.m_remaining = Millis(700);
@@ -97,7 +98,7 @@
     attempt.m_helpers = { { "10.2.64.3:8080", "t81" }, { "10.2.64.5:8080", "" } };
     attempt.m_lastEvent = 4;
     attempt.m_urgency = 2;
-    const HttpHeaders headers = relayDialect().m_writeAttempt(request, attempt);
+    const HttpHeaders headers = relayDialect().m_writeAttemptHeaders(request, attempt);
     EXPECT_EQ(findHeader(headers, "X-Helpers"), "10.2.64.3:8080/t81,10.2.64.5:8080");
     EXPECT_EQ(findHeader(headers, "X-Deadline-Ms"), "700");
     EXPECT_EQ(findHeader(headers, "X-Expect-Instance"), "i-1");
@@ -109,20 +110,20 @@
 
 TEST(RequestCodecTest, TellsWhatAnAnswerSays)
 {
-    const auto read = relayDialect().m_readAnswer;
+    const auto read = relayDialect().m_readResponseHead;
     EXPECT_TRUE(read({ 503, { { "X-Not-Executed", "1" } }, "" }).m_notRun);
     EXPECT_FALSE(read({ 503, {}, "" }).m_notRun);
     EXPECT_TRUE(read({ 421, {}, "" }).m_notRun);
     EXPECT_TRUE(read({ 421, {}, "" }).m_misdirected);
-    const AnswerHead whole = read({ 200,
-                                    { { "X-Request-Id", "r" },
-                                      { "X-Response-Seal", "s" },
-                                      { "Keep-Alive", "timeout=5" },
-                                      { "Content-Length", "3" } },
-                                    "" });
+    const ResponseHead whole = read({ 200,
+                                      { { "X-Request-Id", "r" },
+                                        { "X-Response-Seal", "s" },
+                                        { "Keep-Alive", "timeout=5" },
+                                        { "Content-Length", "3" } },
+                                      "" });
     EXPECT_TRUE(whole.m_signed);
     EXPECT_EQ(whole.m_id.str(), "r");
-    EXPECT_EQ(whole.m_endToEnd.size(), 2u);
+    EXPECT_EQ(whole.m_forwardedHeaders.size(), 2u);
     EXPECT_TRUE(read({ 200, { { "Content-Encoding", "gzip" } }, "" }).m_encoded);
 }
 
@@ -303,7 +304,7 @@
         R"("timeoutMs":100}],"services":[{"name":"a","engine":{"slots":4}}],"tenants":[{"apiKeys":["k"]}]})";
     const std::string page =
         R"({"items":[{"metadata":{"name":"n","revision":4},"spec":{"a":1}}],"currentRev":9})";
-    const Beat beat;
+    const Heartbeat beat;
     int refused = 0;
     for (int i = 0; i < inputs; ++i) {
         refused += !decodeSettings(spoil(Settings, random));
@@ -311,14 +312,14 @@
         refused += !kindDialect().m_readPage(spoil(page, random));
         refused += !kindDialect().m_readEvents(spoil(page, random));
         refused += !relaySource().m_decodeEndpoint({ "n", { 1, 1 }, spoil(Entry, random) });
-        refused += !decodeMessage<Beat>(spoil(encodeMessage(beat), random));
+        refused += !decodeMessage<Heartbeat>(spoil(encodeMessage(beat), random));
         refused += !decodeMessage<LoadMessage>(spoil(encodeMessage(LoadMessage{}), random));
-        relayDialect().m_readRequest({ "GET",
-                                       "/",
-                                       { { "X-Token-Counts", spoil("1460,80", random) },
-                                         { "X-Deadline-Ms", spoil("1500", random) },
-                                         { "Connection", spoil("a, b", random) } },
-                                       "" });
+        relayDialect().m_readRequestHead({ "GET",
+                                           "/",
+                                           { { "X-Token-Counts", spoil("1460,80", random) },
+                                             { "X-Deadline-Ms", spoil("1500", random) },
+                                             { "Connection", spoil("a, b", random) } },
+                                           "" });
         EventSplitter splitter;
         splitter.feed(spoil("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", random));
         while (splitter.next()) { }
--- a/tests/platform/fleet_test.cpp
+++ b/tests/platform/fleet_test.cpp
@@ -213,7 +213,7 @@
     };
     const auto tell = [&](uint64_t vm) {
         teller.m_thread.post([&teller, id, vm] {
-            LoadMessage message{ LoadChange::BrokenOff, { vm, 1 } };
+            LoadMessage message{ LoadEvent::BrokenOff, { vm, 1 } };
             message.m_parts = { { id, 0, 0 } };
             teller.m_loads.send(message);
         });
@@ -305,7 +305,7 @@
     std::promise<void> restarted;
     std::promise<void> ended;
     node.m_thread.post([&] {
-        MemoryTickets tickets(node);
+        MemoryReservations tickets(node);
         const bool abandoned = false;
         reserved.set_value(tickets.reserve({ { record, 0, 1'000, true } }, abandoned).has_value());
         const auto until = restarted.get_future().share();
--- a/tests/relay/load_exchange_test.cpp
+++ b/tests/relay/load_exchange_test.cpp
@@ -13,7 +13,7 @@
 {
     std::vector<LoadMessage> all;
     for (size_t i = 0; i < count; ++i) {
-        LoadMessage message{ LoadChange::Placed, { ~0ull, i } };
+        LoadMessage message{ LoadEvent::Placed, { ~0ull, i } };
         for (size_t part = 0; part < parts; ++part)
             message.m_parts.push_back({ EndpointId("i-75648bd6a1"), 1'193.5, 100'000 });
         all.push_back(message);
--- a/tests/relay/suspect_watch_test.cpp
+++ b/tests/relay/suspect_watch_test.cpp
@@ -41,7 +41,7 @@
     /// Reports a process exit as the VM @p vm that observed it.
     void reportExit(size_t vm, uint64_t process)
     {
-        LoadMessage message{ LoadChange::Suspected };
+        LoadMessage message{ LoadEvent::Suspected };
         message.m_suspects = { { Suspect, { process }, 0, 0 } };
         message.m_cell = cellOf(vm);
         m_vms[vm]->merge(message.m_suspects);
@@ -135,7 +135,7 @@
     SimulatedFleet fleet(1);
     fleet.reportExit(0, 7);
     fleet.run(Millis(100));
-    LoadMessage cleared{ LoadChange::Cleared };
+    LoadMessage cleared{ LoadEvent::Cleared };
     cleared.m_fingerprints = { Suspect };
     fleet.vm(3).receive(cleared);
     EXPECT_TRUE(fleet.vm(3).empty());
