--- a/relay/relay_daemon.cpp
+++ b/relay/relay_daemon.cpp
@@ -49,7 +49,7 @@
     store.m_callTimeout = StoreCallTimeout;
     store.m_readsPerSecond = StoreReadsPerSecond;
     store.m_writesPerSecond = StoreWritesPerSecond;
-    store.m_outageAfter = NoOutageMode;
+    store.m_outageFailureThreshold = NoOutageMode;
     store.m_retry = false;
     store.m_silence = { silenceTimeout(settings.m_bounds), true };
     store.m_replaceAfter = StoreReplaceAfter;
@@ -93,7 +93,7 @@
     m_quarantineRecord = std::make_unique<QuarantineRecord>(
         m_control, *m_store, adapter.m_source,
         [this](const std::vector<SuspectReport> &quarantined) { addQuarantined(quarantined); });
-    m_store->onRise([this] { noteEra(m_store->era()); });
+    m_store->onEraIncrease([this] { noteEra(m_store->era()); });
     m_node->m_quarantined = [this](const std::vector<SuspectReport> &quarantined, bool observed) {
         m_control.post([this, quarantined, observed] {
             m_quarantined = quarantined;
--- a/relay/relay_daemon.h
+++ b/relay/relay_daemon.h
@@ -15,7 +15,7 @@
 /// Codecs for one kind of platform.
 struct RelayAdapter {
     const RelayCodec &m_requests;
-    const KindDialect &m_objects;
+    const KindCodec &m_objects;
     const RelaySource &m_source;
 };
 
--- a/store/kind_store.cpp
+++ b/store/kind_store.cpp
@@ -40,7 +40,7 @@
 } // namespace
 
 KindStore::KindStore(boost::asio::io_context &context, StoreSettings settings, RandomEngine random,
-                     const KindDialect &codec)
+                     const KindCodec &codec)
     : m_channel(std::make_shared<StoreChannel>(context, std::move(settings), random))
     , m_codec(codec)
 { }
@@ -113,7 +113,7 @@
             object.m_position.m_era = m_era;
             result.m_objects.push_back(std::move(object));
         }
-        if (!page->m_more || page->m_objects.empty())
+        if (!page->m_hasMore || page->m_objects.empty())
             return result;
         after = result.m_objects.back().m_name;
     }
--- a/store/kind_store.h
+++ b/store/kind_store.h
@@ -25,7 +25,7 @@
 /// One page of a list.
 struct KindPage {
     std::vector<KindObject> m_objects;
-    bool m_more = false; ///< There is another page, after the name of the last object.
+    bool m_hasMore = false; ///< There is another page, after the name of the last object.
     StorePosition m_position; ///< Of the store; a watch from here misses no change.
 };
 
@@ -40,7 +40,7 @@
 };
 
 /// The functions that write the calls of a platform's store and parse its responses.
-struct KindDialect {
+struct KindCodec {
     /// @p after: name of the last object of the previous page, or empty. @p stale: the store may
     /// return an outdated list.
     HttpRequest (*m_list)(const std::string &kind, const std::string &after, bool stale) = nullptr;
@@ -68,7 +68,7 @@
 public:
     /// @p codec must outlive the store.
     KindStore(boost::asio::io_context &context, StoreSettings settings, RandomEngine random,
-              const KindDialect &codec);
+              const KindCodec &codec);
     ~KindStore();
     KindStore(const KindStore &) = delete;
     KindStore &operator=(const KindStore &) = delete;
@@ -92,7 +92,7 @@
     /// The highest era in any response of the store; zero if none contained one.
     uint64_t era() const { return m_era; }
     /// Sets the function to call when a response contains the first era, or one higher than era().
-    void onRise(std::function<void()> callback) { m_onEraIncrease = std::move(callback); }
+    void onEraIncrease(std::function<void()> callback) { m_onEraIncrease = std::move(callback); }
 
 private:
     Result<HttpResponse> send(StoreCount counter, HttpRequest request, Duration wait);
@@ -102,7 +102,7 @@
     StorePosition positionAt(uint64_t revision) const { return { m_era, revision }; }
 
     std::shared_ptr<StoreChannel> m_channel;
-    const KindDialect &m_codec;
+    const KindCodec &m_codec;
     uint64_t m_era = 0;
     std::function<void()> m_onEraIncrease;
 };
--- a/store/store_channel.cpp
+++ b/store/store_channel.cpp
@@ -60,7 +60,7 @@
     , m_reads(makeCallBudget(m_settings.m_readsPerSecond, m_settings.m_burst, Clock::now()))
     , m_writes(makeCallBudget(m_settings.m_writesPerSecond, m_settings.m_burst, Clock::now()))
 {
-    m_circuitBreaker.m_failureThreshold = m_settings.m_outageAfter;
+    m_circuitBreaker.m_failureThreshold = m_settings.m_outageFailureThreshold;
 }
 
 Result<HttpResponse> StoreChannel::call(const StoreCall &call)
--- a/store/store_client.h
+++ b/store/store_client.h
@@ -21,7 +21,7 @@
     double m_writesPerSecond = 10; ///< Rate limit of this client.
     double m_burst = 20; ///< Most calls that can be sent at once after an idle period.
     BackoffSettings m_backoff; ///< Between the tries of a call.
-    unsigned m_outageAfter = 5; ///< Failures in a row after which outage mode begins.
+    unsigned m_outageFailureThreshold = 5; ///< Failures in a row after which outage mode begins.
     /// Whether the client retries calls. False for callers that have their own retry loop and need
     /// to see each failure.
     bool m_retry = true;
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -177,7 +177,7 @@
 
 TEST(ObjectCodecTest, WritesCallsAndReadsPagesAndEvents)
 {
-    const KindDialect &dialect = kindDialect();
+    const KindCodec &dialect = kindDialect();
     EXPECT_EQ(dialect.m_list("servers", "", false).m_target, "/objects/servers");
     EXPECT_EQ(dialect.m_list("servers", "i-7", true).m_target,
               "/objects/servers?sinceRev=i-7&staleOk=1");
@@ -189,7 +189,7 @@
     const auto page = dialect.m_readPage(
         R"({"items":[{"metadata":{"name":"n","revision":4},"spec":{"a":1}}],"morePages":true,"currentRev":9})");
     ASSERT_TRUE(page);
-    EXPECT_TRUE(page->m_more);
+    EXPECT_TRUE(page->m_hasMore);
     EXPECT_EQ(page->m_position.m_revision, 9u);
     EXPECT_EQ(page->m_objects.at(0).m_spec, "{\"a\":1}");
     const auto events = dialect.m_readEvents(
--- a/tests/store/store_client_test.cpp
+++ b/tests/store/store_client_test.cpp
@@ -176,7 +176,7 @@
         EXPECT_TRUE(client.outage());
         EXPECT_EQ(client.put("a", "v", 7).error().m_code, ErrorCode::Unavailable);
         const StoreCounters counters = client.counters();
-        EXPECT_EQ(counters.m_gets, quick.m_outageAfter);
+        EXPECT_EQ(counters.m_gets, quick.m_outageFailureThreshold);
         EXPECT_EQ(counters.m_puts, 0u);
         EXPECT_EQ(counters.m_outages, 1u);
         EXPECT_GE(counters.m_failedFast, 1u);
