--- a/control/control_state.cpp
+++ b/control/control_state.cpp
@@ -52,9 +52,9 @@
     return load;
 }
 
-LeavingEndpoints leavingEndpoints(const MemberList &members)
+DrainingEndpoints leavingEndpoints(const MemberList &members)
 {
-    LeavingEndpoints leaving;
+    DrainingEndpoints leaving;
     for (const EndpointNotice &notice : members.m_notices) {
         if (notice.m_active && notice.m_kind == NoticeKind::Leaving)
             leaving.push_back(notice.m_endpoint);
@@ -118,7 +118,7 @@
 void ControlState::start()
 {
     m_relay->start();
-    m_stewards.m_onLeaving = [this](const EndpointId &endpoint, bool leaving) {
+    m_stewards.m_onDrainingChanged = [this](const EndpointId &endpoint, bool leaving) {
         m_membership->addNotice({ endpoint, NoticeKind::Leaving, leaving, wallMillis() });
     };
     m_stewards.start();
@@ -264,7 +264,7 @@
                                        leavingEndpoints(*m_members));
     const TimePoint now = Clock::now();
     for (const Customer &customer : m_intent->m_customers) {
-        const LimitSlice slice = equalSlice(customer, *view, m_node.m_settings.m_vm);
+        const LimitSlice slice = equalLimitSlice(customer, *view, m_node.m_settings.m_vm);
         m_node.m_admission.setSlice(customer.m_id, slice, now);
     }
     m_node.m_view.publish(view);
--- a/entry/admission_gate.cpp
+++ b/entry/admission_gate.cpp
@@ -64,7 +64,7 @@
     return retryBackoff(m_retries.m_settings, attemptsMade, random);
 }
 
-LimitSlice equalSlice(const Customer &customer, const RoutingView &view, const VmId &self)
+LimitSlice equalLimitSlice(const Customer &customer, const RoutingView &view, const VmId &self)
 {
     std::vector<DataCentreId> dataCentres;
     for (const DataCentre &dataCentre : view.m_intent->m_dataCentres)
--- a/entry/admission_gate.h
+++ b/entry/admission_gate.h
@@ -35,6 +35,6 @@
 /// Slice of @p customer's limits for the VM @p self if they are split equally over the data
 /// centres, and within each over its VMs. The slices of all VMs add up to no more than the limits.
 /// Members of unlimited kinds stay empty.
-LimitSlice equalSlice(const Customer &customer, const RoutingView &view, const VmId &self);
+LimitSlice equalLimitSlice(const Customer &customer, const RoutingView &view, const VmId &self);
 
 } // namespace stackquay
--- a/entry/routing_view.cpp
+++ b/entry/routing_view.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool contains(const LeavingEndpoints &endpoints, const EndpointId &id)
+bool contains(const DrainingEndpoints &endpoints, const EndpointId &id)
 {
     return std::find(endpoints.begin(), endpoints.end(), id) != endpoints.end();
 }
@@ -88,7 +88,7 @@
 }
 
 RoutingViewPtr buildRoutingView(std::shared_ptr<const Intent> intent, DataCentreId dataCentre,
-                                std::vector<PeerRoute> peers, const LeavingEndpoints &leaving)
+                                std::vector<PeerRoute> peers, const DrainingEndpoints &leaving)
 {
     auto view = std::make_shared<RoutingView>();
     view->m_revision = intent->m_revision;
--- a/entry/routing_view.h
+++ b/entry/routing_view.h
@@ -54,11 +54,11 @@
 using RoutingViewPtr = std::shared_ptr<const RoutingView>;
 
 /// Endpoints that drain according to any source other than the intent.
-using LeavingEndpoints = std::vector<EndpointId>;
+using DrainingEndpoints = std::vector<EndpointId>;
 
 /// Builds the view of one data centre. Endpoints in @p leaving are marked as draining.
 RoutingViewPtr buildRoutingView(std::shared_ptr<const Intent> intent, DataCentreId dataCentre,
-                                std::vector<PeerRoute> peers, const LeavingEndpoints &leaving);
+                                std::vector<PeerRoute> peers, const DrainingEndpoints &leaving);
 
 /// Hands the current view from the control thread to the traffic threads.
 class RoutingViewHolder
--- a/entry/steward_service.cpp
+++ b/entry/steward_service.cpp
@@ -255,8 +255,8 @@
         return;
     managed->second.m_facts.m_memoryTokens = state.value("memory_total", uint64_t(0));
     const bool draining = state.value("draining", false);
-    if (draining != managed->second.m_reportedDraining && m_onLeaving)
-        m_onLeaving(id, draining);
+    if (draining != managed->second.m_reportedDraining && m_onDrainingChanged)
+        m_onDrainingChanged(id, draining);
     managed->second.m_reportedDraining = draining;
     managed->second.m_facts.m_draining = managed->second.m_facts.m_draining || draining;
     deliver(updateEndpoint(m_steward, managed->second.m_facts, Clock::now()));
--- a/entry/steward_service.h
+++ b/entry/steward_service.h
@@ -27,7 +27,7 @@
     /// Grants of VMs that are not in @p serving are released; a draining VM is still serving.
     void update(const RoutingView &view, const std::set<VmId> &serving);
     /// Called when a polled endpoint starts or stops reporting that it drains. May be empty.
-    std::function<void(const EndpointId &, bool draining)> m_onLeaving;
+    std::function<void(const EndpointId &, bool draining)> m_onDrainingChanged;
 
     size_t endpoints() const { return m_steward.m_endpoints.size(); }
     size_t grants() const { return m_steward.m_grants.size(); }
--- a/tests/entry/completion_request_test.cpp
+++ b/tests/entry/completion_request_test.cpp
@@ -98,7 +98,7 @@
                                             { VmId("3"), {} } };
         const auto view = buildRoutingView(intent, DataCentreId(dataCentre), peers, {});
         for (const PeerRoute &peer : peers) {
-            const LimitSlice slice = equalSlice(intent->m_customers[0], *view, peer.m_id);
+            const LimitSlice slice = equalLimitSlice(intent->m_customers[0], *view, peer.m_id);
             concurrency += *slice.m_concurrency;
             rate += *slice.m_tokensPerSecond;
         }
