--- a/control/control_state.cpp
+++ b/control/control_state.cpp
@@ -144,7 +144,7 @@
             return RevisionText{ state.m_revision, state.m_snapshot };
         });
     };
-    hooks.m_watch = [this](uint64_t above, const IntentRelayHooks::Taker &taker) {
+    hooks.m_watch = [this](uint64_t above, const IntentRelayHooks::RevisionCallback &taker) {
         m_intents.resume();
         m_intents.watch(above, [&taker](const IntentState &state) {
             taker(RevisionText{ state.m_revision, state.m_snapshot });
--- a/peers/intent_relay.h
+++ b/peers/intent_relay.h
@@ -56,13 +56,13 @@
 
 /// Callbacks into the daemon. All are called in fibers of the control thread.
 struct IntentRelayHooks {
-    using Taker = std::function<void(RevisionText)>;
+    using RevisionCallback = std::function<void(RevisionText)>;
 
     /// Reads the current revision from the store.
     std::function<Result<RevisionText>()> m_load;
     /// Passes each revision above the given one that is written to the store to the callback.
     /// Blocks the fiber until m_stopWatch is called or the thread stops.
-    std::function<void(uint64_t above, const Taker &)> m_watch;
+    std::function<void(uint64_t above, const RevisionCallback &)> m_watch;
     std::function<void()> m_stopWatch;
     /// Applies a revision. On an error the current one stays in force.
     std::function<Status(const RevisionText &)> m_apply;
--- a/tests/peers/intent_relay_test.cpp
+++ b/tests/peers/intent_relay_test.cpp
@@ -36,7 +36,7 @@
         m_down = down;
     }
 
-    void watch(uint64_t above, const IntentRelayHooks::Taker &take, const bool &stopped)
+    void watch(uint64_t above, const IntentRelayHooks::RevisionCallback &take, const bool &stopped)
     {
         std::unique_lock lock(m_mutex);
         ++m_watchers;
@@ -163,7 +163,7 @@
     {
         IntentRelayHooks hooks;
         hooks.m_load = [this] { return m_store.load(); };
-        hooks.m_watch = [this](uint64_t above, const IntentRelayHooks::Taker &take) {
+        hooks.m_watch = [this](uint64_t above, const IntentRelayHooks::RevisionCallback &take) {
             m_stopWatch = false;
             m_store.watch(above, take, m_stopWatch);
         };
