--- a/policy/dispatch_plan.h
+++ b/policy/dispatch_plan.h
@@ -1,6 +1,6 @@
 /// Decides when a waiting model request may start, and on which engines.
 ///
-/// policy/turn_queue keeps the order of the waiting requests and policy/gang_plan chooses the
+/// policy/dispatch_queue keeps the order of the waiting requests and policy/gang_plan chooses the
 /// engines. This module derives the inputs of both from a request, and makes the decision each time
 /// that the request polls.
 #pragma once
--- a/policy/limit_slices.h
+++ b/policy/limit_slices.h
@@ -3,7 +3,7 @@
 /// Each node may always use a small fallback amount, which needs no steward. A node requests a
 /// slice from its steward; while it holds one, it uses the slice in place of its fallback amount,
 /// so that the steward may grant the capacity of idle nodes to busy ones. The steward grants slices
-/// only while it holds the leader lease (tenure.h), and no slice outlasts that lease.
+/// only while it holds the leader lease (leader_lease.h), and no slice outlasts that lease.
 ///
 /// The sum of what nodes use stays within the limit even if messages are lost, duplicated or
 /// delayed and processes are paused:
--- a/relay/suspect_tracker.h
+++ b/relay/suspect_tracker.h
@@ -4,7 +4,7 @@
 /// observed it and the store watchers also report it to some VMs of each other cell, which forward
 /// it within theirs: 1 datagram to each VM of the cell and 2 to each other cell for an exit, and no
 /// traffic while no endpoint exits. A new VM receives all suspects together with the requests in
-/// flight. Quarantined requests are also kept in the store (relay/condemned_record.h).
+/// flight. Quarantined requests are also kept in the store (relay/quarantine_record.h).
 #pragma once
 
 #include <functional>
