--- a/entry/shutdown_refusal.cpp
+++ b/entry/shutdown_refusal.cpp
@@ -12,7 +12,7 @@
 std::optional<Refusal> refuseIfShuttingDown(const Node &node, TimePoint deadline)
 {
     const TimePoint now = Clock::now();
-    if (!node.m_ending && mayTake(node.drainPlan(), now, { deadline - now }))
+    if (!node.m_ending && mayAccept(node.drainPlan(), now, { deadline - now }))
         return std::nullopt;
     return shutdownRefusal(Outcome::RefusedNotRun);
 }
--- a/policy/drain.cpp
+++ b/policy/drain.cpp
@@ -12,7 +12,7 @@
     return !isDraining(plan) || expected <= plan.m_drainStartedAt + plan.m_grace - now;
 }
 
-bool mayTake(const DrainPlan &plan, TimePoint now, const RequestDuration &time)
+bool mayAccept(const DrainPlan &plan, TimePoint now, const RequestDuration &time)
 {
     if (canFinishInGrace(plan, now, time.m_max))
         return true;
--- a/policy/drain.h
+++ b/policy/drain.h
@@ -35,7 +35,7 @@
 };
 
 /// Whether to accept a request that arrives now.
-bool mayTake(const DrainPlan &plan, TimePoint now, const RequestDuration &time);
+bool mayAccept(const DrainPlan &plan, TimePoint now, const RequestDuration &time);
 /// Whether the draining daemon exits now, given @p inProgress requests.
 bool shouldExit(const DrainPlan &plan, TimePoint now, size_t inProgress);
 
--- a/relay/relay_run.cpp
+++ b/relay/relay_run.cpp
@@ -113,7 +113,7 @@
 {
     const RelayViewPtr view = m_node.m_view.load();
     if (!m_node.m_stopping
-        && (!isDraining(view->m_drain) || mayTake(view->m_drain, m_arrival, timeNeeded())))
+        && (!isDraining(view->m_drain) || mayAccept(view->m_drain, m_arrival, timeNeeded())))
         return true;
     refuse(StatusUnavailable, "this VM is stopping", RetryAfterDrain);
     return false;
--- a/tests/policy/drain_plan_test.cpp
+++ b/tests/policy/drain_plan_test.cpp
@@ -14,32 +14,32 @@
 {
     const DrainPlan none;
     EXPECT_FALSE(isDraining(none));
-    EXPECT_TRUE(mayTake(none, Begun, { Seconds(1'000) }));
+    EXPECT_TRUE(mayAccept(none, Begun, { Seconds(1'000) }));
     EXPECT_TRUE(canFinishInGrace(none, Begun, Seconds(1'000)));
 }
 
 TEST(DrainPlanTest, AcceptsUntilTheBalancerNotices)
 {
     EXPECT_TRUE(isDraining(Plan));
-    EXPECT_TRUE(mayTake(Plan, Begun, { Millis(10) }));
-    EXPECT_TRUE(mayTake(Plan, Begun + Millis(1'999), { Millis(10) }));
-    EXPECT_FALSE(mayTake(Plan, Begun + Millis(2'000), { Millis(10) }));
-    EXPECT_FALSE(mayTake(Plan, Begun + Millis(6'000), { Millis(10) }));
+    EXPECT_TRUE(mayAccept(Plan, Begun, { Millis(10) }));
+    EXPECT_TRUE(mayAccept(Plan, Begun + Millis(1'999), { Millis(10) }));
+    EXPECT_FALSE(mayAccept(Plan, Begun + Millis(2'000), { Millis(10) }));
+    EXPECT_FALSE(mayAccept(Plan, Begun + Millis(6'000), { Millis(10) }));
 }
 
 TEST(DrainPlanTest, AcceptsOnlyWhatEndsWithinTheGracePeriod)
 {
-    EXPECT_TRUE(mayTake(Plan, Begun, { Millis(7'000) }));
-    EXPECT_FALSE(mayTake(Plan, Begun, { Millis(7'001) }));
-    EXPECT_TRUE(mayTake(Plan, Begun + Millis(1'500), { Millis(5'500) }));
-    EXPECT_FALSE(mayTake(Plan, Begun + Millis(1'500), { Millis(5'501) }));
+    EXPECT_TRUE(mayAccept(Plan, Begun, { Millis(7'000) }));
+    EXPECT_FALSE(mayAccept(Plan, Begun, { Millis(7'001) }));
+    EXPECT_TRUE(mayAccept(Plan, Begun + Millis(1'500), { Millis(5'500) }));
+    EXPECT_FALSE(mayAccept(Plan, Begun + Millis(1'500), { Millis(5'501) }));
 }
 
 TEST(DrainPlanTest, AcceptsLaterOnlyIfTheLongestDurationFits)
 {
     const RequestDuration bounded{ Millis(10), Millis(2'000) };
-    EXPECT_TRUE(mayTake(Plan, Begun + Millis(5'000), bounded));
-    EXPECT_FALSE(mayTake(Plan, Begun + Millis(5'001), bounded));
+    EXPECT_TRUE(mayAccept(Plan, Begun + Millis(5'000), bounded));
+    EXPECT_FALSE(mayAccept(Plan, Begun + Millis(5'001), bounded));
 }
 
 TEST(DrainPlanTest, AcceptedRequestsContinueAfterTheNotice)
@@ -60,7 +60,7 @@
 TEST(DrainPlanTest, NeverOutlastsTheGracePeriod)
 {
     const DrainPlan plan{ Begun, Millis(2'000), Millis(3'000), Millis(1'000) };
-    EXPECT_FALSE(mayTake(plan, Begun + Millis(990), { Millis(11) }));
+    EXPECT_FALSE(mayAccept(plan, Begun + Millis(990), { Millis(11) }));
     EXPECT_TRUE(shouldExit(plan, Begun + Millis(1'000), 5));
 }
 
