--- a/policy/crash_suspects.cpp
+++ b/policy/crash_suspects.cpp
@@ -112,22 +112,22 @@
     return quarantined(table, suspect) ? SuspectChange::Quarantined : SuspectChange::Known;
 }
 
-SuspectChange mergeSuspectReport(SuspectTable &table, const SuspectReport &news, TimePoint now)
+SuspectChange mergeSuspectReport(SuspectTable &table, const SuspectReport &report, TimePoint now)
 {
     const Duration age = Millis(std::min<uint64_t>(
-        news.m_ageMs, std::chrono::duration_cast<Millis>(table.m_settings.m_retention).count()));
-    std::vector<uint64_t> ends = news.m_crashes;
-    std::erase_if(ends,
-                  [&](uint64_t process) { return isCleared(table, news.m_fingerprint, process); });
+        report.m_ageMs, std::chrono::duration_cast<Millis>(table.m_settings.m_retention).count()));
+    std::vector<uint64_t> ends = report.m_crashes;
+    std::erase_if(
+        ends, [&](uint64_t process) { return isCleared(table, report.m_fingerprint, process); });
     if (ends.empty() || age >= table.m_settings.m_retention)
         return SuspectChange::None;
-    Suspect &suspect = findOrAddSuspect(table, news.m_fingerprint);
+    Suspect &suspect = findOrAddSuspect(table, report.m_fingerprint);
     const bool before = quarantined(table, suspect);
     bool changed = false;
     for (const uint64_t process : ends)
         changed = addCrash(table, suspect, process) || changed;
-    changed = changed || news.m_probesMade > suspect.m_probesMade;
-    suspect.m_probesMade = std::max(suspect.m_probesMade, news.m_probesMade);
+    changed = changed || report.m_probesMade > suspect.m_probesMade;
+    suspect.m_probesMade = std::max(suspect.m_probesMade, report.m_probesMade);
     suspect.m_lastAt = std::max(suspect.m_lastAt, now - age);
     if (!changed)
         return SuspectChange::None;
@@ -240,9 +240,9 @@
     return all;
 }
 
-bool isQuarantined(const SuspectTable &table, const SuspectReport &news)
+bool isQuarantined(const SuspectTable &table, const SuspectReport &report)
 {
-    return news.m_crashes.size() >= table.m_settings.m_quarantineThreshold;
+    return report.m_crashes.size() >= table.m_settings.m_quarantineThreshold;
 }
 
 void dropExpiredSuspects(SuspectTable &table, TimePoint now)
--- a/policy/crash_suspects.h
+++ b/policy/crash_suspects.h
@@ -123,7 +123,7 @@
 SuspectChange recordCrash(SuspectTable &table, const Fingerprint &fingerprint, uint64_t process,
                           TimePoint now);
 /// Merges a peer's report. Reports may arrive in any order and repeatedly.
-SuspectChange mergeSuspectReport(SuspectTable &table, const SuspectReport &news, TimePoint now);
+SuspectChange mergeSuspectReport(SuspectTable &table, const SuspectReport &report, TimePoint now);
 /// Removes a suspect without remembering its crashes. False if it was not a suspect.
 bool removeSuspect(SuspectTable &table, const Fingerprint &fingerprint);
 /// Clears a request that completed after the crashes @p ends and the ones in the table: it caused
@@ -145,7 +145,7 @@
 /// Reports of at most @p most suspects, ordered by number of crashes (most first), then by age.
 std::vector<SuspectReport> suspectReports(const SuspectTable &table, size_t most, TimePoint now);
 /// Whether the suspect of the report is quarantined.
-bool isQuarantined(const SuspectTable &table, const SuspectReport &news);
+bool isQuarantined(const SuspectTable &table, const SuspectReport &report);
 /// Drops suspects that are older than SuspectSettings::m_retention.
 void dropExpiredSuspects(SuspectTable &table, TimePoint now);
 
