--- a/relay/relay_node.cpp
+++ b/relay/relay_node.cpp
@@ -20,15 +20,15 @@
     return static_cast<uint32_t>(std::max<Millis::rep>(count, 0));
 }
 
-LoadMessage waitingMessage(const LoadKey &key, uint32_t gapLimitMs, const QueuedRequest &turn,
+LoadMessage waitingMessage(const LoadKey &key, uint32_t gapLimitMs, const QueuedRequest &queued,
                            TimePoint now)
 {
     LoadMessage message{ LoadEvent::Waiting, key };
     message.m_gapLimitMs = gapLimitMs;
-    message.m_expiresMs = millisOf(turn.m_expiresAt - now);
-    message.m_aimMs = millisOf(turn.m_targetAt - now);
-    message.m_neededMs = millisOf(turn.m_minTimeToFirstEvent);
-    message.m_leadMs = millisOf(turn.m_orderLead);
+    message.m_expiresMs = millisOf(queued.m_expiresAt - now);
+    message.m_aimMs = millisOf(queued.m_targetAt - now);
+    message.m_neededMs = millisOf(queued.m_minTimeToFirstEvent);
+    message.m_leadMs = millisOf(queued.m_orderLead);
     return message;
 }
 
@@ -43,9 +43,9 @@
 
 } // namespace
 
-RelayNode::RelayNode(FiberThread &thread, RelaySettings settings, const RelayCodec &dialect)
+RelayNode::RelayNode(FiberThread &thread, RelaySettings settings, const RelayCodec &codec)
     : m_settings(std::move(settings))
-    , m_dialect(dialect)
+    , m_dialect(codec)
     , m_thread(thread)
     , m_random(std::random_device{}())
     , m_origin(m_random())
@@ -99,10 +99,11 @@
     return m_strictQueue.erase(key) + m_longQueue.erase(key) > 0;
 }
 
-void RelayNode::announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const QueuedRequest &turn)
+void RelayNode::announceWaiting(const LoadKey &key, uint32_t gapLimitMs,
+                                const QueuedRequest &queued)
 {
-    m_loads.send(waitingMessage(key, gapLimitMs, turn, Clock::now()));
-    queueOf(gapLimitMs)[key] = turn;
+    m_loads.send(waitingMessage(key, gapLimitMs, queued, Clock::now()));
+    queueOf(gapLimitMs)[key] = queued;
 }
 
 void RelayNode::place(const LoadKey &key, std::vector<LoadPart> parts, uint32_t gapLimitMs,
@@ -196,9 +197,9 @@
 {
     std::vector<LoadMessage> messages;
     const auto add = [&](const DispatchQueue &queue, uint32_t gapLimitMs) {
-        for (const auto &[key, turn] : queue) {
-            if (key.m_origin == m_origin && turn.m_expiresAt > now)
-                messages.push_back(waitingMessage(key, gapLimitMs, turn, now));
+        for (const auto &[key, queued] : queue) {
+            if (key.m_origin == m_origin && queued.m_expiresAt > now)
+                messages.push_back(waitingMessage(key, gapLimitMs, queued, now));
         }
     };
     add(m_strictQueue, StrictGapMs);
--- a/relay/relay_node.h
+++ b/relay/relay_node.h
@@ -17,7 +17,7 @@
 /// Used on the traffic thread only, except for the atomics.
 struct RelayNode {
     /// @p thread is the traffic thread; it must be stopped before the node is destroyed.
-    RelayNode(FiberThread &thread, RelaySettings settings, const RelayCodec &dialect);
+    RelayNode(FiberThread &thread, RelaySettings settings, const RelayCodec &codec);
 
     // Any thread.
     std::atomic<RelayViewPtr> m_view;
@@ -54,7 +54,7 @@
     LoadKey nextKey() { return { m_origin, ++m_sequence }; }
     DispatchQueue &queueOf(uint32_t gapLimitMs);
     /// Announces to all VMs that a request waits in a queue, until place() or end().
-    void announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const QueuedRequest &turn);
+    void announceWaiting(const LoadKey &key, uint32_t gapLimitMs, const QueuedRequest &queued);
     /// Enters an attempt into the ledgers of all VMs; @p suspect is the request's fingerprint if it
     /// is a suspect. @p lifetime bounds the ledger entry.
     void place(const LoadKey &key, std::vector<LoadPart> parts, uint32_t gapLimitMs,
--- a/relay/relay_placement.cpp
+++ b/relay/relay_placement.cpp
@@ -148,7 +148,7 @@
                              std::min(timeToComplete(NoSlack), remainingTime()));
 }
 
-DispatchDecision RelayRun::checkTurn(const QueuedRequest &turn, DispatchObstacle before)
+DispatchDecision RelayRun::checkTurn(const QueuedRequest &queued, DispatchObstacle before)
 {
     const ModelRequest request = modelRequest();
     const TimePoint now = Clock::now();
@@ -158,7 +158,7 @@
                       || mayStartNext(m_node.m_turns, costs, request, m_node.queueOf(gapLimitMs()),
                                       m_loadKey, sideLoad(seen), now);
     return decideDispatch(
-        m_node.m_turns, costs, request, turn, next, before,
+        m_node.m_turns, costs, request, queued, next, before,
         [this, &seen](DisruptionPolicy care) { return choosePlan(care, seen); }, now);
 }
 
@@ -166,27 +166,27 @@
 {
     if (!isModelRequest())
         return choosePlan(DisruptionPolicy::Avoid, poolState());
-    const QueuedRequest turn =
+    const QueuedRequest queued =
         queuedRequestOf(m_node.m_turns, *m_service->m_engine, modelRequest(), poolSize());
-    m_node.queueOf(gapLimitMs())[m_loadKey] = turn;
+    m_node.queueOf(gapLimitMs())[m_loadKey] = queued;
     bool announced = false;
     DispatchObstacle obstacle = DispatchObstacle::None;
     for (;;) {
         // Refused now if it cannot finish in time, so that another VM can still serve it.
         const bool cannotFinish = m_node.m_stopping || cannotFinishInDrain();
         if (!cannotFinish) {
-            DispatchDecision now = checkTurn(turn, obstacle);
+            DispatchDecision now = checkTurn(queued, obstacle);
             if (now.m_plan)
                 return std::move(now.m_plan);
             obstacle = now.m_obstacle;
             if (now.m_tooLate) {
                 m_failureReason = dispatchObstacleMessage(obstacle);
-                logTooLate(turn);
+                logTooLate(queued);
                 return std::nullopt;
             }
         }
         if (!announced)
-            m_node.announceWaiting(m_loadKey, gapLimitMs(), turn);
+            m_node.announceWaiting(m_loadKey, gapLimitMs(), queued);
         announced = true;
         if (cannotFinish || !sleepFor(m_node.m_thread.context(), TurnPoll) || m_clientDisconnected
             || remainingTime() <= TurnPoll) {
@@ -196,7 +196,7 @@
     }
 }
 
-void RelayRun::logTooLate(const QueuedRequest &turn) const
+void RelayRun::logTooLate(const QueuedRequest &queued) const
 {
     const TimePoint now = Clock::now();
     const SideLoad load = sideLoad(poolState());
@@ -206,7 +206,8 @@
         .text("why", m_failureReason)
         .number("tokens", static_cast<int64_t>(m_head.m_promptTokens))
         .number("wait_ms", std::chrono::duration_cast<Millis>(now - m_arrival).count())
-        .number("needed_ms", std::chrono::duration_cast<Millis>(turn.m_minTimeToFirstEvent).count())
+        .number("needed_ms",
+                std::chrono::duration_cast<Millis>(queued.m_minTimeToFirstEvent).count())
         .number("ahead", requestsAhead(queue, m_loadKey, now))
         .number("waiting", static_cast<int64_t>(queue.size()))
         .number("room", allowedStarts(m_node.m_turns, load, isStrictGap(gapLimitMs())))
--- a/relay/relay_run.h
+++ b/relay/relay_run.h
@@ -64,11 +64,11 @@
     std::optional<GangPlan> choosePlan(DisruptionPolicy care, const PoolState &seen);
     bool isModelRequest() const;
     uint32_t gapLimitMs() const { return static_cast<uint32_t>(m_route->m_gapLimit.count()); }
-    /// Blocks until this request may begin, and returns its placement. Nothing if the request ends
-    /// before, or, for a request that needs no turn, if no endpoint can take it.
+    /// Blocks until this request may start, and returns its placement. Nothing if the request ends
+    /// before, or, for a request that is never queued, if no endpoint can take it.
     std::optional<GangPlan> awaitTurn();
-    /// Checks whether the request may begin now.
-    DispatchDecision checkTurn(const QueuedRequest &turn, DispatchObstacle before);
+    /// Checks whether the request may start now.
+    DispatchDecision checkTurn(const QueuedRequest &queued, DispatchObstacle before);
     ModelRequest modelRequest() const;
     /// The current load of the engines that serve this request's kind of stream.
     SideLoad sideLoad(const PoolState &seen) const;
@@ -87,7 +87,7 @@
                                        DisruptionPolicy care, const PoolState &seen);
     void logPlacement(const GangPlan &plan) const;
     /// Logs why a request is refused that can no longer begin in time.
-    void logTooLate(const QueuedRequest &turn) const;
+    void logTooLate(const QueuedRequest &queued) const;
 
     // relay_attempt.cpp
     AttemptResult attempt(const GangPlan &plan);
