--- a/entry/admission_gate.cpp
+++ b/entry/admission_gate.cpp
@@ -56,7 +56,7 @@
 RetryDecision AdmissionGate::mayRetry(const RetryQuery &question, TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    return stackquay::mayRetry(m_retries, question, now);
+    return stackquay::decideRetry(m_retries, question, now);
 }
 
 Duration AdmissionGate::backoff(uint32_t attemptsMade, RandomEngine &random) const
--- a/policy/retry.cpp
+++ b/policy/retry.cpp
@@ -68,7 +68,7 @@
     return Duration(wait(random));
 }
 
-RetryDecision mayRetry(RetryBudgets &budgets, const RetryQuery &query, TimePoint now)
+RetryDecision decideRetry(RetryBudgets &budgets, const RetryQuery &query, TimePoint now)
 {
     if (query.m_outcome == Outcome::Complete)
         return RetryDecision::NotNeeded;
--- a/policy/retry.h
+++ b/policy/retry.h
@@ -78,7 +78,7 @@
 
 /// Decides whether to make another attempt. Withdraws a unit from the budgets only if the result is
 /// Retry and the last attempt sent a byte.
-RetryDecision mayRetry(RetryBudgets &budgets, const RetryQuery &query, TimePoint now);
+RetryDecision decideRetry(RetryBudgets &budgets, const RetryQuery &query, TimePoint now);
 
 /// Name of a decision in logs, such as "no_time".
 std::string_view retryDecisionName(RetryDecision decision);
--- a/tests/policy/retry_test.cpp
+++ b/tests/policy/retry_test.cpp
@@ -27,25 +27,25 @@
 TEST(Retry, RulesInOrder)
 {
     RetryBudgets budgets = filledBudgets();
-    EXPECT_EQ(mayRetry(budgets, query(), Start), RetryDecision::Retry);
+    EXPECT_EQ(decideRetry(budgets, query(), Start), RetryDecision::Retry);
 
     RetryQuery complete = query();
     complete.m_outcome = Outcome::Complete;
-    EXPECT_EQ(mayRetry(budgets, complete, Start), RetryDecision::NotNeeded);
+    EXPECT_EQ(decideRetry(budgets, complete, Start), RetryDecision::NotNeeded);
 
     RetryQuery late = query();
     late.m_backoff = Seconds(2);
-    EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(28)), RetryDecision::NoTime);
-    EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(27)), RetryDecision::Retry);
+    EXPECT_EQ(decideRetry(budgets, late, Start + Seconds(28)), RetryDecision::NoTime);
+    EXPECT_EQ(decideRetry(budgets, late, Start + Seconds(27)), RetryDecision::Retry);
     late.m_needed = Seconds(1);
-    EXPECT_EQ(mayRetry(budgets, late, Start + Seconds(27)), RetryDecision::NoTime);
+    EXPECT_EQ(decideRetry(budgets, late, Start + Seconds(27)), RetryDecision::NoTime);
 
     RetryQuery often = query();
     often.m_attemptsMade = budgets.m_settings.m_maxAttempts;
-    EXPECT_EQ(mayRetry(budgets, often, Start), RetryDecision::AttemptsUsedUp);
+    EXPECT_EQ(decideRetry(budgets, often, Start), RetryDecision::AttemptsUsedUp);
 
     budgets = {};
-    EXPECT_EQ(mayRetry(budgets, query(), Start), RetryDecision::BudgetUsedUp);
+    EXPECT_EQ(decideRetry(budgets, query(), Start), RetryDecision::BudgetUsedUp);
 }
 
 TEST(Retry, NonRepeatableIsNotRetriedAfterAByteWasSent)
@@ -57,11 +57,11 @@
         once.m_outcome = outcome;
         once.m_lastByteSent = true;
         once.m_anyByteSent = true;
-        EXPECT_EQ(mayRetry(budgets, once, Start), RetryDecision::NotRepeatable);
+        EXPECT_EQ(decideRetry(budgets, once, Start), RetryDecision::NotRepeatable);
         once.m_lastByteSent = false;
-        EXPECT_EQ(mayRetry(budgets, once, Start), RetryDecision::NotRepeatable);
+        EXPECT_EQ(decideRetry(budgets, once, Start), RetryDecision::NotRepeatable);
         once.m_anyByteSent = false;
-        EXPECT_EQ(mayRetry(budgets, once, Start), RetryDecision::Retry);
+        EXPECT_EQ(decideRetry(budgets, once, Start), RetryDecision::Retry);
     }
 }
 
@@ -71,9 +71,9 @@
     RetryQuery unsent = query();
     unsent.m_anyByteSent = false;
     unsent.m_lastByteSent = false;
-    EXPECT_EQ(mayRetry(budgets, unsent, Start), RetryDecision::Retry);
+    EXPECT_EQ(decideRetry(budgets, unsent, Start), RetryDecision::Retry);
     unsent.m_attemptsMade = 3;
-    EXPECT_EQ(mayRetry(budgets, unsent, Start), RetryDecision::AttemptsUsedUp);
+    EXPECT_EQ(decideRetry(budgets, unsent, Start), RetryDecision::AttemptsUsedUp);
 }
 
 TEST(Retry, BalanceDecaysToItsFloor)
@@ -126,7 +126,7 @@
             failed.m_lastByteSent = uniform(random) >= unsentFraction;
             failed.m_anyByteSent = failed.m_anyByteSent || failed.m_lastByteSent;
             result.m_reached += failed.m_lastByteSent ? 1 : 0;
-            if (mayRetry(budgets, failed, now) != RetryDecision::Retry)
+            if (decideRetry(budgets, failed, now) != RetryDecision::Retry)
                 break;
         }
     }
@@ -178,7 +178,7 @@
         failures += 1;
         RetryQuery failed = query();
         failed.m_deadline = now + Seconds(30);
-        if (mayRetry(budgets, failed, now) == RetryDecision::Retry) {
+        if (decideRetry(budgets, failed, now) == RetryDecision::Retry) {
             retried += 1;
             countSuccess(budgets, Carrick, now);
         }
