--- a/relay/relay_node.h
+++ b/relay/relay_node.h
@@ -4,8 +4,8 @@
 #include <atomic>
 #include <unordered_set>
 
-#include "relay/dialect.h"
 #include "relay/load_exchange.h"
+#include "relay/relay_codec.h"
 #include "relay/relay_metrics.h"
 #include "relay/relay_view.h"
 #include "relay/suspect_tracker.h"
