--- a/policy/prefix.cpp
+++ b/policy/prefix.cpp
@@ -66,8 +66,7 @@
     uint64_t hash = 0;
     const auto [end, error] = std::from_chars(name.data(), name.data() + name.size(), hash, 16);
     if (name.empty() || error != std::errc() || end != name.data() + name.size())
-        return makeError(ErrorCode::ProtocolError,
-                         fmt::format("block name '{}' is not a 64-bit hexadecimal number", name));
+        return makeError(ErrorCode::ProtocolError, fmt::format("bad block name '{}'", name));
     return hash;
 }
 
